--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -109,7 +109,7 @@
     raw["bounds"]["cold_falls_units"] = 113_000
     file = Path(folder) / "deployment.json"
     file.write_text(json.dumps(raw))
-    made = scenario_fleet.ScenarioFleet(story, file, build(raw, proved=False), folder, 1)
+    made = scenario_fleet.ScenarioFleet(story, file, build(raw, reject_findings=False), folder, 1)
     made.cells, made.planner_names = NODES, ["plannera", "plannerb", "plannerc"]
     chance, members = random.Random(1), []
     try:
@@ -129,7 +129,7 @@
         there = members[round(edges * away) :]
         raw["plans"]["basico"].update(limit=edges * 20.0, burst=edges * 40.0)
         await admin_client.send_policy_command(
-            made.places, "propose", client="b", n=1, by="b", text=documents.text(raw)
+            made.places, "propose", client="b", n=1, by="b", text=documents.serialize(raw)
         )
         async with asyncio.timeout(CONVERGENCE_TIMEOUT):
             while not all(CHANGED_VERSION in member.active_since for member in there):
@@ -252,7 +252,7 @@
         raw = fault_scenario.raw_deployment(fault_scenario.parse(f"edges {edges}\n"))
         raw["plans"]["basico"].update(limit=edges * 200.0, burst=edges * 400.0)
         raw["bounds"]["cold_falls_units"], raw["fleet"]["cold_units"] = 113_000, 1
-        fleet = policy_fleet.PolicyFleet(loop, build(raw, proved=False), 3, folder)
+        fleet = policy_fleet.PolicyFleet(loop, build(raw, reject_findings=False), 3, folder)
         await fleet.up(NODES, edges)
         for number in range(down):
             fleet.kill_edge(number)
@@ -262,7 +262,7 @@
         for place in range(changes):
             await fleet.sleep(3)
             raw["plans"]["basico"]["limit"] = edges * (190.0 if place % 2 else 195.0)
-            await fleet.send_policy_command(f"c{place}", "propose", text=documents.text(raw))
+            await fleet.send_policy_command(f"c{place}", "propose", text=documents.serialize(raw))
             decided.append(fleet.operator_commands[-1]["said"])
         await work
         answers = [row for row in fleet.records if row["kind"] == "answer" and row["status"] in ANSWERED]
--- a/benchmarks/scheduler_equivalence.py
+++ b/benchmarks/scheduler_equivalence.py
@@ -122,7 +122,7 @@
     found.loader.exec_module(module)
     module.Scheduler = comparison.scheduler
     for scenario in sorted((ROOT / "tests" / "scenarios").glob("*.txt")):
-        module.Player().play(scenario.read_text())
+        module.ScenarioRunner().play(scenario.read_text())
 
 
 def play_fleets(comparison: Comparison, seeds: range) -> None:
--- a/rushmux/buffer/batch_writer.py
+++ b/rushmux/buffer/batch_writer.py
@@ -269,7 +269,7 @@
                 for written_block, extent in extents[file]:
                     if written_block == number:
                         block_extents = layout.overlay(block_extents, extent)
-                if len(block_extents) > self.file_system.settings.extents:
+                if len(block_extents) > self.file_system.settings.max_extents:
                     block_extents = [await compact_block(runner, block_extents)]
                 found[file, number] = block_extents
         return found
--- a/rushmux/cli/edge.py
+++ b/rushmux/cli/edge.py
@@ -59,7 +59,7 @@
     deployment = load_deployment(options.deployment_file)
     if not 0 <= number < deployment.settings.gateway_count:
         raise click.ClickException(f"edge {number} of {deployment.settings.gateway_count}")
-    policy_store = _open_policy_store(data) if deployment.policy else None
+    policy_store = _open_policy_store(data) if deployment.planner_policy else None
     log_disk = _open_log_disk(deployment, data)
 
     async def run() -> None:
--- a/rushmux/cli/planner.py
+++ b/rushmux/cli/planner.py
@@ -45,7 +45,7 @@
     from rushmux.planner.planner import Planner
 
     deployment, replication = load_deployment(options.deployment_file), None
-    if planners or deployment.policy:
+    if planners or deployment.planner_policy:
         replication = _replication_settings(
             planners or {name: options.listen}, name, f"{data}.log", options.seed, bootstrap
         )
--- a/rushmux/cli/policy.py
+++ b/rushmux/cli/policy.py
@@ -111,7 +111,7 @@
     """Proposes the policy of a deployment file: it takes hold at every member, or at none."""
     from rushmux.settings import policy as documents
 
-    text = documents.text(load_deployment(file, explain=True).raw)
+    text = documents.serialize(load_deployment(file, explain=True).raw)
     result = run_command(planner, "propose", text=text, base=base)
     if wait:
         await_change(planner, int(result.split()[0]), wait)
@@ -177,7 +177,7 @@
             raise click.ClickException(f"{past} is not kept; there are {', '.join(former) or 'none'}")
         return former[str(past)], f"policy {past}"
     if file:
-        return documents.text(load_deployment(file, explain=True).raw), file
+        return documents.serialize(load_deployment(file, explain=True).raw), file
     raise click.ClickException("name a file, or --past NUMBER")
 
 
--- a/rushmux/edge/driver.py
+++ b/rushmux/edge/driver.py
@@ -112,7 +112,7 @@
         """Takes over a deployment's route policies; earlier operations keep theirs."""
         self.deployment = deployment
         policies = deployment.settings.route_policies
-        self.enqueue(lambda now: self.guarded(None, self.scheduler.on_route_policies, policies))
+        self.enqueue(lambda now: self.call_scheduler(None, self.scheduler.on_route_policies, policies))
 
     def set_quota_share(self, folder: str, share: float) -> None:
         """Applies a quota of a folder, as a share of its limit, from the next round on."""
@@ -126,9 +126,9 @@
             self._apply_quota(folder)
 
     def _apply_quota(self, folder: str) -> None:
-        even_share = 1 / self.deployment.mounts(folder)
+        even_share = 1 / self.deployment.edge_count(folder)
         quota = self.quota_shares.get(folder, even_share) * self.limit_scales.get(folder, 1.0)
-        self.enqueue(lambda now: self.guarded(None, self.scheduler.on_quota, now, folder, quota))
+        self.enqueue(lambda now: self.call_scheduler(None, self.scheduler.on_quota, now, folder, quota))
 
     # Operations.
 
@@ -168,7 +168,7 @@
             0,
             operation.units,
             operation.cell,
-            self.deployment.mounts(operation.folder),
+            self.deployment.edge_count(operation.folder),
             False,
         )
 
@@ -235,13 +235,15 @@
 
         request = self.connections.request_load_report(node, on_report)
         # A node that hangs never answers; the scheduler takes it for overloaded when the time is over.
-        timer = self.loop.call_later(self.deployment.dial, on_report, AttemptResult.TIMED_OUT, None)
+        timer = self.loop.call_later(
+            self.deployment.connect_timeout, on_report, AttemptResult.TIMED_OUT, None
+        )
 
     def _tell_load_report(
         self, now: Ticks, node: str, result: AttemptResult, load: messages.Load | None
     ) -> None:
         queue, service = _load_figure(load, "queue"), _load_figure(load, "service")
-        self.guarded(None, self.scheduler.on_load_report, node, result, queue, service)
+        self.call_scheduler(None, self.scheduler.on_load_report, node, result, queue, service)
 
 
 def _load_figure(load: messages.Load | None, name: str) -> float | None:
--- a/rushmux/edge/edge.py
+++ b/rushmux/edge/edge.py
@@ -111,8 +111,8 @@
     def _make_driver(self, hello: messages.Hello) -> None:
         self.connections = NodeConnections(
             hello,
-            connect_timeout=self.deployment.dial,
-            connections_per_node=self.deployment.links,
+            connect_timeout=self.deployment.connect_timeout,
+            connections_per_node=self.deployment.connections_per_node,
             rng=self.rng,
             log=self.log,
         )
@@ -141,7 +141,7 @@
             self.buffer = self.make_buffer(self.driver, self.file_system, self.log)
 
     def _start_tasks(self, stored: StoredPolicies) -> None:
-        if self.deployment.shares:
+        if self.deployment.planner_quotas:
             self.quota_client = QuotaClient(self.driver, self.planner_client, self.log)
         runs = {"planner_client": self.planner_client.run, "garbage_collector": self.garbage_collector.run}
         if self.quota_client is not None:
@@ -196,7 +196,7 @@
     # Sessions.
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.closing or len(self.sessions) >= self.deployment.sessions.most:
+        if self.closing or len(self.sessions) >= self.deployment.sessions.max_sessions:
             self.log.warning("session.rejected", sessions=len(self.sessions))
             writer.close()
             return
@@ -214,7 +214,7 @@
         self.closing = True
         self.server.close()
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + self.deployment.sessions.patience
+        deadline = loop.time() + self.deployment.sessions.request_timeout
         while any(session.tasks for session in self.sessions) and loop.time() < deadline:
             await asyncio.sleep(LINGER / 4)
         if self.buffer is not None:
--- a/rushmux/edge/file_system.py
+++ b/rushmux/edge/file_system.py
@@ -4,7 +4,7 @@
 
 from rushmux.files import layout
 from rushmux.files.layout import FileKind, FileRow
-from rushmux.settings.deployment import Files
+from rushmux.settings.deployment import FileSettings
 
 PERMISSION_BITS = 0o7777
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        settings: Files,
+        settings: FileSettings,
         unique_name: Callable[[], str],
         calendar: Callable[[], int],
         schedule_collection: Callable[[str], None],
--- a/rushmux/edge/group_commit.py
+++ b/rushmux/edge/group_commit.py
@@ -105,7 +105,7 @@
         self, runner: OperationRunner, batch: Sequence[StoredWrite], only_version: int | None = None
     ) -> bool:
         """Changes the rows that make a batch visible; False: the file is not of `only_version`."""
-        since = self.loop.time() - self.file_system.settings.fresh
+        since = self.loop.time() - self.file_system.settings.max_row_age
         for attempt in range(MAX_CONFLICTS):
             await runner.back_off(attempt)
             committed = await self._try_commit(runner, batch, since, only_version)
@@ -164,7 +164,7 @@
                 for written in write.extents:
                     if written.number == number:
                         extents = layout.overlay(extents, written.extent)
-            if len(extents) > self.file_system.settings.extents:
+            if len(extents) > self.file_system.settings.max_extents:
                 try:
                     extents = [await compact_block(runner, extents)]
                 except ObjectMissingError:  # this version's check would not hold
--- a/rushmux/edge/node_connections.py
+++ b/rushmux/edge/node_connections.py
@@ -210,7 +210,7 @@
     correlation_id: int
 
     @property
-    def begun(self) -> bool:
+    def sent(self) -> bool:
         """Whether it was written to its connection."""
         return self.correlation_id not in self.connection.unsent
 
--- a/rushmux/edge/openfile.py
+++ b/rushmux/edge/openfile.py
@@ -51,7 +51,7 @@
     async def read(self, runner: OperationRunner, offset: int, length: int) -> bytes:
         """Bytes from `offset` on, fewer at the end of the file, none past it; holes read as zeros."""
         length = min(length, self.file_system.settings.object_bytes)
-        since = self.loop.time() - self.file_system.settings.fresh
+        since = self.loop.time() - self.file_system.settings.max_row_age
         # Taken before the rows are read: what is written out meanwhile is in one of them at least.
         buffered, buffered_end = [], 0
         if self.buffer is not None:
--- a/rushmux/edge/policy_client.py
+++ b/rushmux/edge/policy_client.py
@@ -47,7 +47,7 @@
         )
         # What the scheduler was built with.
         self.built_limits: Limits = {
-            folder: (limit, burst) for folder, limit, burst in documents.rows(edge.deployment)
+            folder: (limit, burst) for folder, limit, burst in documents.limit_rows(edge.deployment)
         }
         self.limit_scales: dict[str, float] = {}
         self.state: PolicyState | None = None
@@ -60,12 +60,12 @@
     def _rejection_reason(self, proposed: Policy) -> str | None:
         """Why this edge cannot apply a policy; None: it can."""
         try:
-            deployment = documents.merged(
+            deployment = documents.merge(
                 self.edge.own_deployment, proposed.text, f"policy {proposed.version}"
             )
         except DeploymentError as error:
             return "; ".join(f"{place}: {text}" for place, text in error.faults[:MAX_NAMED])
-        return "; ".join(documents.against(self.edge.deployment, deployment)) or None
+        return "; ".join(documents.restart_obstacles(self.edge.deployment, deployment)) or None
 
     async def run(self) -> None:
         """Requests leases until cancelled."""
@@ -110,7 +110,7 @@
         """Another version is active: operations from now on belong to it, earlier ones keep theirs."""
         active = self.member.active
         source = f"policy {active.version}"
-        self.edge.take_over(documents.merged(self.edge.own_deployment, active.text, source))
+        self.edge.take_over(documents.merge(self.edge.own_deployment, active.text, source))
 
     def _may_serve(self) -> bool:
         # An edge that stood still wakes with its lease over, and its sockets are read before its timers run.
--- a/rushmux/edge/policy_store.py
+++ b/rushmux/edge/policy_store.py
@@ -111,7 +111,7 @@
         if stored.active is None:
             return InitialPolicy(own, stored)
         source = f"policy {stored.active.version}"
-        return InitialPolicy(documents.merged(own, stored.active.text, source), stored)
+        return InitialPolicy(documents.merge(own, stored.active.text, source), stored)
     except PolicyFormatError:
         raise
     except (StoredPolicyError, DeploymentError) as error:
--- a/rushmux/edge/session.py
+++ b/rushmux/edge/session.py
@@ -72,11 +72,11 @@
         self.packets = sftp.PacketSplitter()
         self.packet_begun_at: float | None = None  # the loop's time; None: no packet is read in part
         self.established, self.request_count = False, 0
-        self.handles = HandleTable(name, self.limits.handles)
+        self.handles = HandleTable(name, self.limits.max_handles)
         self.handlers = RequestHandlers(edge, self.handles)
         self.order = RequestOrder()
         self.request_completed = asyncio.Event()
-        self.concurrency = asyncio.Semaphore(self.limits.window)
+        self.concurrency = asyncio.Semaphore(self.limits.max_concurrent)
         self.tasks: dict[asyncio.Task, bool] = {}
         self.unread_timer: asyncio.TimerHandle | None = None
 
@@ -119,12 +119,12 @@
         # A client that sends a byte a second would occupy a session with no packet ever complete.
         time_left = None
         if self.packet_begun_at is not None:
-            time_left = self.packet_begun_at + self.limits.packet - self.loop.time()
+            time_left = self.packet_begun_at + self.limits.packet_timeout - self.loop.time()
         try:
             async with asyncio.timeout(time_left):
                 data = await self.reader.read(READ_SIZE)
         except TimeoutError:
-            raise SessionEndedError(f"a packet not whole after {self.limits.packet} s") from None
+            raise SessionEndedError(f"a packet not whole after {self.limits.packet_timeout} s") from None
         if not data:
             raise SessionEndedError("left within a packet" if self.packets.has_partial_packet else "left")
         return data
@@ -169,7 +169,7 @@
         if self.edge.closing:
             self._reply(status(packet.request_id, sftp.FAILURE, "shed: the edge is closing"))
             return
-        while len(self.order) >= self.limits.pipelined:
+        while len(self.order) >= self.limits.max_pipelined:
             self.request_completed.clear()
             await self.request_completed.wait()
         access = access_of(packet, self.handles)
@@ -190,7 +190,7 @@
         self._reply(reply)
 
     async def _execute(self, request: Request):
-        deadline = self.loop.time() + self.limits.patience - REPLY_MARGIN
+        deadline = self.loop.time() + self.limits.request_timeout - REPLY_MARGIN
         tag = f"{self.name.rsplit('/', 1)[1]}.{request.number}"
 
         def runner_for(folder: str) -> OperationRunner:
@@ -240,10 +240,10 @@
         self.replies.write(sftp.encode(packet))
         # A client that sends and never reads would make its replies pile up here.
         if self.replies.buffered_bytes() > MAX_UNREAD and self.unread_timer is None:
-            self.unread_timer = self.loop.call_later(self.limits.unread, self._on_unread_timeout)
+            self.unread_timer = self.loop.call_later(self.limits.unread_timeout, self._on_unread_timeout)
 
     def _on_unread_timeout(self) -> None:
         self.unread_timer = None
         if self.replies.buffered_bytes() > MAX_UNREAD:
-            self.log.warning("session.client_not_reading", seconds=self.limits.unread)
+            self.log.warning("session.client_not_reading", seconds=self.limits.unread_timeout)
             self.writer.transport.abort()
--- a/rushmux/gateway/node_connection.py
+++ b/rushmux/gateway/node_connection.py
@@ -64,7 +64,7 @@
         self.written = False
 
     @property
-    def begun(self) -> bool:
+    def sent(self) -> bool:
         """Whether its last byte has left this process; if not, an attempt given up now never runs."""
         return self.written and not (self.connection is not None and self.connection.has_unsent_bytes)
 
--- a/rushmux/lab/day.py
+++ b/rushmux/lab/day.py
@@ -116,7 +116,7 @@
     text["bounds"], text["routes"] = {}, []
     for path, value in {**experiment["set"], **variant.get("set", {})}.items():
         set_value(text, path, value)
-    return deployments.build(text, "deployment", proved=False)
+    return deployments.build(text, "deployment", reject_findings=False)
 
 
 def _scale_plans(
--- a/rushmux/lab/simulated_gateway.py
+++ b/rushmux/lab/simulated_gateway.py
@@ -148,7 +148,7 @@
             time_left=self._time_left(operation),
             units=arrival.units,
             cell=arrival.cell,
-            gateway_count=deployment.mounts(arrival.volume),
+            gateway_count=deployment.edge_count(arrival.volume),
             is_retry=False,
         )
         self.scheduler.on_operation(self.now(), request)
--- a/rushmux/planner/planner.py
+++ b/rushmux/planner/planner.py
@@ -137,7 +137,7 @@
 
     def _bootstrap_command(self) -> StoredCommand | None:
         """The command that makes the fleet's first policy; None where it is to have none."""
-        if self._deployment is None or not self._deployment.policy:
+        if self._deployment is None or not self._deployment.planner_policy:
             return None
         return policy_admin.bootstrap_command(self._deployment)
 
--- a/rushmux/planner/policy_admin.py
+++ b/rushmux/planner/policy_admin.py
@@ -27,7 +27,7 @@
 
 
 def _document_of(deployment: Deployment) -> PolicyDocument:
-    return PolicyDocument(policy_documents.text(deployment.raw), policy_documents.rows(deployment))
+    return PolicyDocument(policy_documents.serialize(deployment.raw), policy_documents.limit_rows(deployment))
 
 
 async def execute(
@@ -103,9 +103,9 @@
     active = replicated_log.policy.active
     if active is None:
         raise ProposalUndecidedError("the fleet has no first policy yet")
-    proposed = policy_documents.merged(deployment, text, "the proposed policy")
-    current = policy_documents.merged(deployment, active.text, "the policy in force")
-    obstacles = policy_documents.against(current, proposed)
+    proposed = policy_documents.merge(deployment, text, "the proposed policy")
+    current = policy_documents.merge(deployment, active.text, "the policy in force")
+    obstacles = policy_documents.restart_obstacles(current, proposed)
     if obstacles:
         raise ProposalRejectedError("; ".join(obstacles))
     return _document_of(proposed)
--- a/rushmux/scheduling/driver.py
+++ b/rushmux/scheduling/driver.py
@@ -46,7 +46,7 @@
 class AttemptHandle(Protocol):
     """What a gateway tells of an attempt on its way, and may be told of it."""
 
-    begun: bool
+    sent: bool
     """Whether its last byte has left this process."""
 
     def drop(self) -> None:
@@ -146,9 +146,9 @@
         events, self.pending_events = self.pending_events, []
         for handler, values in events:
             handler(now, *values)
-        self.guarded(None, self.scheduler.run_round, now)
+        self.call_scheduler(None, self.scheduler.run_round, now)
 
-    def guarded(self, op_id: str | None, call: Callable, *values) -> None:
+    def call_scheduler(self, op_id: str | None, call: Callable, *values) -> None:
         """Calls the scheduler; a fault in it is logged and costs one operation, not the gateway."""
         try:
             call(*values)
@@ -159,7 +159,7 @@
 
     def update_endpoints(self, kind: UpdateKind, endpoints: Iterable[Endpoint]) -> None:
         """The endpoint list, or updates of it, arrived."""
-        self.enqueue(lambda now: self.guarded(None, self.scheduler.on_endpoints, now, kind, endpoints))
+        self.enqueue(lambda now: self.call_scheduler(None, self.scheduler.on_endpoints, now, kind, endpoints))
 
     def submit(
         self, request: OperationRequest, payload: Any, client_deadline: float, on_answer: Callable
@@ -188,7 +188,7 @@
         # A late round has used up a part of the client's time already.
         remaining = int(operation.client_deadline * TICKS_PER_SECOND) - now
         request = request._replace(time_left=max(0, min(deadline, remaining)))
-        self.guarded(op_id, self.scheduler.on_operation, now, request)
+        self.call_scheduler(op_id, self.scheduler.on_operation, now, request)
 
     def client_gone(self, op_id: str) -> None:
         """The operation's client went away: nobody is owed an answer."""
@@ -210,7 +210,7 @@
 
     def _tell_client_gone(self, now: Ticks, op_id: str) -> None:
         if op_id in self.operations:
-            self.guarded(op_id, self.scheduler.on_client_gone, now, op_id)
+            self.call_scheduler(op_id, self.scheduler.on_client_gone, now, op_id)
             self._forget_if_over(op_id)
 
     def _answer(
@@ -224,7 +224,7 @@
         # Attempts that wait for a connection would be sent when it comes, for a client that has gone or was
         # answered.
         for number, attempt in operation.attempts.items():
-            if attempt.handle is not None and not attempt.handle.begun:
+            if attempt.handle is not None and not attempt.handle.sent:
                 attempt.handle.drop()
                 self.on_reply(operation.request.op_id, number, AttemptReply(AttemptResult.NOT_SENT))
 
@@ -270,7 +270,7 @@
         self.attempt_results[result] += 1
         self.log.debug("attempt.result", op=op_id, attempt=number, node=attempt.node, result=result)
         report = AttemptReport(op_id, number, result, operation.ended, reply.fleet_usage, reply.remote_usage)
-        self.guarded(op_id, self.scheduler.on_attempt_result, now, report)
+        self.call_scheduler(op_id, self.scheduler.on_attempt_result, now, report)
         self._forget_if_over(op_id)
 
     @staticmethod
@@ -280,7 +280,7 @@
             attempt.timer.cancel()
         if attempt.handle is None:
             return result
-        if result in MAY_STILL_RUN and not attempt.handle.begun:
+        if result in MAY_STILL_RUN and not attempt.handle.sent:
             cancelled = result is AttemptResult.CANCELLED
             result = AttemptResult.NOT_SENT if cancelled else AttemptResult.CONNECT_FAILED
         attempt.handle.drop()
@@ -355,7 +355,9 @@
     def request_load_report(self, node: str) -> None:
         """Asks a node for its load; here, where no node can be asked, that fails in the next round."""
         failed = AttemptResult.CONNECT_FAILED
-        self.enqueue(lambda now: self.guarded(None, self.scheduler.on_load_report, node, failed, None, None))
+        self.enqueue(
+            lambda now: self.call_scheduler(None, self.scheduler.on_load_report, node, failed, None, None)
+        )
 
     def report_volume(self, event: VolumeEvent) -> None:
         """Logs a change of what is kept of a volume."""
--- a/rushmux/settings/deployment.py
+++ b/rushmux/settings/deployment.py
@@ -40,24 +40,24 @@
     edges: tuple[int, ...] | None
 
 
-class Sessions(NamedTuple):
+class SessionLimits(NamedTuple):
     """Bounds of client sessions; times in seconds."""
 
-    patience: float
-    most: int
-    handles: int
-    pipelined: int
-    window: int
-    packet: float
-    unread: float
+    request_timeout: float
+    max_sessions: int
+    max_handles: int
+    max_pipelined: int
+    max_concurrent: int
+    packet_timeout: float
+    unread_timeout: float
 
 
-class Files(NamedTuple):
+class FileSettings(NamedTuple):
     """How files are cut: bytes of an object, extents of a block, seconds that names stay fresh."""
 
     object_bytes: int
-    extents: int
-    fresh: float
+    max_extents: int
+    max_row_age: float
     unit_bytes: int
 
 
@@ -67,18 +67,18 @@
     settings: SchedulerSettings
     roles: dict[str, str]
     folders: dict[str, Folder]
-    sessions: Sessions
-    files: Files
+    sessions: SessionLimits
+    files: FileSettings
     buffer: dict | None
     """The file's part on the write-back buffer, times in seconds; None: off."""
     drain_grace: float
     """Seconds."""
-    dial: float
+    connect_timeout: float
     """Seconds until a connection that does not come up is given up."""
-    links: int
-    shares: bool
+    connections_per_node: int
+    planner_quotas: bool
     """Shares of limits are asked of a planner."""
-    policy: bool
+    planner_policy: bool
     """Classes, plans, routes and the like are decided in common by the planners."""
     bounds: route_bounds.Bounds
     """What the routes were verified on."""
@@ -95,19 +95,19 @@
         limits = {name: self.settings.plans[folder.plan].limit for name, folder in self.folders.items()}
         return {name: limit for name, limit in limits.items() if limit}
 
-    def mounts(self, folder: str) -> int:
+    def edge_count(self, folder: str) -> int:
         """Through how many edges the folder works."""
         edges = self.folders[folder].edges
         return len(edges) if edges else self.settings.gateway_count
 
 
-def build(raw: dict, source: str = "deployment", proved: bool = True) -> Deployment:
+def build(raw: dict, source: str = "deployment", reject_findings: bool = True) -> Deployment:
     """The deployment that `raw` states; DeploymentError with all its faults.
 
     Args:
         raw: The file's object.
         source: Where it is from, for messages.
-        proved: Whether the verifier's findings are faults; the laboratory takes such a file all the same.
+        reject_findings: Whether a finding of the verifier is a fault; the lab takes such a file all the same.
     """
     faults, rows = check(raw)
     if rows is None:
@@ -119,7 +119,7 @@
     settings = settings._replace(route_policies=resolve.route_policies(routes))
     bounds = _bounds(settings, raw["fleet"], raw["bounds"])
     findings = verifier.verify(bounds, routes)
-    if faults or (findings and proved):
+    if faults or (findings and reject_findings):
         told = [(finding.place, finding.text) for finding in findings]
         raise DeploymentError(source, faults + told, findings)
     fleet = raw["fleet"]
@@ -132,10 +132,10 @@
         files=_files(raw["files"], fleet["unit_bytes"]),
         buffer=_buffer(raw.get("buffer")),
         drain_grace=fleet["drain_grace_ms"] / MS_PER_SECOND,
-        dial=fleet["dial_ms"] / MS_PER_SECOND,
-        links=fleet["links"],
-        shares=fleet["shares"],
-        policy=fleet["policy"],
+        connect_timeout=fleet["dial_ms"] / MS_PER_SECOND,
+        connections_per_node=fleet["links"],
+        planner_quotas=fleet["shares"],
+        planner_policy=fleet["policy"],
         bounds=bounds,
         routes=routes,
         raw=stated,
@@ -210,8 +210,8 @@
     }
 
 
-def _sessions(row: dict) -> Sessions:
-    return Sessions(
+def _sessions(row: dict) -> SessionLimits:
+    return SessionLimits(
         row["patience_ms"] / MS_PER_SECOND,
         row["most"],
         row["handles"],
@@ -222,8 +222,8 @@
     )
 
 
-def _files(row: dict, unit_bytes: int) -> Files:
-    return Files(row["object_bytes"], row["extents"], row["fresh_ms"] / MS_PER_SECOND, unit_bytes)
+def _files(row: dict, unit_bytes: int) -> FileSettings:
+    return FileSettings(row["object_bytes"], row["extents"], row["fresh_ms"] / MS_PER_SECOND, unit_bytes)
 
 
 def _buffer(row: dict | None) -> dict | None:
--- a/rushmux/settings/policy.py
+++ b/rushmux/settings/policy.py
@@ -14,7 +14,7 @@
 LIVE = ("limit", "burst")  # of a plan: what the scheduler takes over by its shares of limits
 
 
-def text(raw: dict) -> str:
+def serialize(raw: dict) -> str:
     """The policy in a file's content."""
     return json.dumps(
         {name: raw[name] for name in DECIDES if name in raw},
@@ -24,7 +24,7 @@
     )
 
 
-def rows(deployment: Deployment) -> list[tuple[str, float, float]]:
+def limit_rows(deployment: Deployment) -> list[tuple[str, float, float]]:
     """(folder, limit, burst) of each folder that has a limit, in the order of their names."""
     plans = deployment.settings.plans
     return [
@@ -34,7 +34,7 @@
     ]
 
 
-def merged(own: Deployment, policy: str, source: str) -> Deployment:
+def merge(own: Deployment, policy: str, source: str) -> Deployment:
     """The deployment of an own file under a policy, proved; DeploymentError with all that is wrong."""
     try:
         decided = json.loads(policy)
@@ -52,7 +52,7 @@
     return build({**copy.deepcopy(raw), **decided}, source)
 
 
-def against(now: Deployment, proposed: Deployment) -> list[str]:
+def restart_obstacles(now: Deployment, proposed: Deployment) -> list[str]:
     """What keeps a policy from being taken over without a start.
 
     That is all that differs but routes, and limits and bursts of plans that keep one.
--- a/rushmux/standins/checker.py
+++ b/rushmux/standins/checker.py
@@ -169,7 +169,7 @@
         self._check_nothing_sent_after_answers(rule)
 
     def _check_request(self, rule: _RuleCheck, request: Row, answers: Sequence[Row]) -> None:
-        patience = self.deployment.sessions.patience
+        patience = self.deployment.sessions.request_timeout
         name = f"{request['session']} request {request['number']} ({request['what']})"
         if len(answers) > 1:
             rule.breach(f"{name}: {len(answers)} answers")
--- a/rushmux/standins/policy_fleet.py
+++ b/rushmux/standins/policy_fleet.py
@@ -160,7 +160,7 @@
             if self.draw.random() < REVERT_CHANCE:
                 await self.send_policy_command(word, "revert", number=self.draw.randrange(1, 4))
             else:
-                await self.send_policy_command(word, "propose", text=documents.text(raw))
+                await self.send_policy_command(word, "propose", text=documents.serialize(raw))
 
     async def repeat(self, rate, act, until):
         """Does something at a rate, by chance, until a time."""
--- a/rushmux/standins/scenario.py
+++ b/rushmux/standins/scenario.py
@@ -214,7 +214,7 @@
         await asyncio.sleep(max(0, begun + event.at - loop.time()))
         event_tasks.append(loop.create_task(carry_out(fleet, clients_of, event)))
     await asyncio.gather(*tasks, *event_tasks)
-    ending = loop.time() + fleet.deployment.sessions.patience * DRAIN_PATIENCE
+    ending = loop.time() + fleet.deployment.sessions.request_timeout * DRAIN_PATIENCE
     while any(clients.running for clients in clients_of.values()) and loop.time() < ending:
         await asyncio.sleep(0.1)
     fleet.record("end", turned_away=sum(clients.rejected for clients in clients_of.values()))
--- a/rushmux/standins/scenario_fleet.py
+++ b/rushmux/standins/scenario_fleet.py
@@ -223,7 +223,7 @@
             else:
                 place, _, value = word.partition("=")
                 _set_value(raw, place, json.loads(value))
-        await self.send_policy_command(label, "propose", text=documents.text(raw), **options)
+        await self.send_policy_command(label, "propose", text=documents.serialize(raw), **options)
 
     async def _do_withdraw(self, number: str) -> None:
         await self.send_policy_command(f"w{number}", "withdraw", number=int(number))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -138,7 +138,7 @@
     return fields
 
 
-class Player:
+class ScenarioRunner:
     """Scheduler actions that write down what a gateway does, and the verbs of the notation."""
 
     def __init__(self):
@@ -321,9 +321,9 @@
 
 @pytest.fixture
 def player():
-    return Player()
+    return ScenarioRunner()
 
 
 @pytest.fixture
 def another_player():
-    return Player()
+    return ScenarioRunner()
--- a/tests/edge/test_policy_client.py
+++ b/tests/edge/test_policy_client.py
@@ -35,7 +35,7 @@
 
 
 def policy(number, raw=RAW):
-    return Policy(number, documents.text(raw), tuple(documents.rows(build(raw))))
+    return Policy(number, documents.serialize(raw), tuple(documents.limit_rows(build(raw))))
 
 
 def changed(**plan):
@@ -77,20 +77,22 @@
 
 
 def test_changes_that_need_a_start_and_unknown_parts_are_rejected():
-    assert documents.against(OWN, build(changed(limit=40, burst=90))) == []
+    assert documents.restart_obstacles(OWN, build(changed(limit=40, burst=90))) == []
     routes = {**copy.deepcopy(RAW), "routes": RAW["routes"][:1]}
-    assert documents.against(OWN, build(routes)) == []
-    weight = documents.against(OWN, build(changed(weight=7)))
+    assert documents.restart_obstacles(OWN, build(routes)) == []
+    weight = documents.restart_obstacles(OWN, build(changed(weight=7)))
     assert weight == ["/plans/basico/weight: changes only with a start"]
     unlimited = copy.deepcopy(RAW)
     del unlimited["plans"]["basico"]["limit"]
-    assert documents.against(OWN, build(unlimited)) == ["/plans/basico/limit: changes only with a start"]
+    assert documents.restart_obstacles(OWN, build(unlimited)) == [
+        "/plans/basico/limit: changes only with a start"
+    ]
     with pytest.raises(DeploymentError, match="no such part"):
-        documents.merged(OWN, json.dumps({**json.loads(documents.text(RAW)), "tides": 1}), "x")
+        documents.merge(OWN, json.dumps({**json.loads(documents.serialize(RAW)), "tides": 1}), "x")
     with pytest.raises(DeploymentError, match="is no JSON"):
-        documents.merged(OWN, "{", "x")
+        documents.merge(OWN, "{", "x")
     again = dict(reversed(list(RAW.items())))
-    assert documents.text(again) == documents.text(RAW)
+    assert documents.serialize(again) == documents.serialize(RAW)
 
 
 def test_a_grant_leaves_out_policies_that_the_member_has_and_a_wrong_checksum_is_rejected():
--- a/tests/planner/test_hostile_messages.py
+++ b/tests/planner/test_hostile_messages.py
@@ -82,7 +82,7 @@
     ] == []
     raw = raw_deployment()
     raw["plans"]["basico"].update(limit=40.0, burst=80.0)
-    await fleet.send_policy_command("down", "propose", text=documents.text(raw))
+    await fleet.send_policy_command("down", "propose", text=documents.serialize(raw))
     assert fleet.operator_commands[-1]["said"].endswith("is staged")
     await fleet.sleep(5)
     assert leader(fleet) == name
@@ -138,7 +138,7 @@
         raw = raw_deployment()
         raw["plans"]["basico"].update(limit=40.0, burst=80.0)
         fleet.edges[1].process.hold(3)
-        await fleet.send_policy_command("held", "propose", text=documents.text(raw))
+        await fleet.send_policy_command("held", "propose", text=documents.serialize(raw))
         request = messages.PolicyAsk(member="edge1", ask=1, force=1, refused=2, against="\1" * 400_000)
         await send(
             fleet.places[policy_fleet.PLANNERS.index(name)],
@@ -148,7 +148,7 @@
         machine = fleet.planners[name].program.replicated_log.policy
         assert leader(fleet) == name and machine.staged is None
         raw["plans"]["basico"].update(limit=50.0, burst=100.0)
-        await fleet.send_policy_command("next", "propose", text=documents.text(raw))
+        await fleet.send_policy_command("next", "propose", text=documents.serialize(raw))
         await fleet.sleep(5)
         assert machine.active.version == 3
 
@@ -171,7 +171,7 @@
         name = leader(fleet)
         raw = raw_deployment()
         raw["plans"]["basico"].update(limit=40.0, burst=80.0)
-        about = {"text": documents.text(raw), "client": "c", "n": 1, "by": "b", **fields}
+        about = {"text": documents.serialize(raw), "client": "c", "n": 1, "by": "b", **fields}
         with pytest.raises(CommandRejectedError) as refusal:
             answer = await admin_client.send_policy_command(fleet.places, about.pop("verb"), **about)
             raise CommandRejectedError(answer.said)
--- a/tests/planner/test_replicated_policy.py
+++ b/tests/planner/test_replicated_policy.py
@@ -40,7 +40,7 @@
 def propose(fleet, word, limit):
     raw = fault_scenario.raw_deployment(fault_scenario.parse(f"edges {len(fleet.edges)}\n"))
     raw["plans"]["basico"].update(limit=limit, burst=2 * limit)
-    return fleet.send_policy_command(word, "propose", text=documents.text(raw))
+    return fleet.send_policy_command(word, "propose", text=documents.serialize(raw))
 
 
 def leader(fleet):
@@ -88,7 +88,7 @@
 
 def test_a_command_is_applied_once_for_each_idempotency_key(run_fleet):
     async def scenario(fleet):
-        text = documents.text(fault_scenario.raw_deployment(fault_scenario.parse("edges 2\n")))
+        text = documents.serialize(fault_scenario.raw_deployment(fault_scenario.parse("edges 2\n")))
         fields = {"client": "anna", "n": 1, "by": "anna", "text": text}
         first = await admin_client.send_policy_command(fleet.places, "propose", **fields)
         again = await admin_client.send_policy_command(fleet.places, "propose", **fields)
--- a/tests/settings/test_deployment.py
+++ b/tests/settings/test_deployment.py
@@ -74,5 +74,5 @@
         made.settings.request_classes["lectura"].latency_objective == 4_000
         and made.settings.round_interval == 50
     )
-    assert made.sessions.handles == 256 and made.files.object_bytes == 262_144
+    assert made.sessions.max_handles == 256 and made.files.object_bytes == 262_144
     assert made.units(1) == 1 and made.units(32_769) == 2 and made.units(10**9) == 8
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -152,7 +152,7 @@
         await fleet.sleep(15)
         raw = raw_deployment()
         raw["plans"]["basico"].update(limit=40.0, burst=80.0)
-        await fleet.send_policy_command("down", "propose", text=policy_fleet.documents.text(raw))
+        await fleet.send_policy_command("down", "propose", text=policy_fleet.documents.serialize(raw))
         await fleet.sleep(10)
         return fleet
 
