--- a/rushmux/scheduling/__init__.py
+++ b/rushmux/scheduling/__init__.py
@@ -1,5 +1,5 @@
-"""The decision logic on operations, its interface, and the driver that carries its decisions out.
+"""The scheduler, its interface, and the driver that runs it on an event loop.
 
-Nothing here knows a wire protocol.  `scheduler.Scheduler` is the entry point of the decisions, `interface`
-says what goes in and out, and `driver.OperationDriver` connects both to an event loop.
+Nothing here depends on a wire protocol.  `scheduler.Scheduler` makes the decisions, `interface` defines its
+inputs and outputs, and `driver.OperationDriver` connects it to an event loop.
 """
--- a/rushmux/scheduling/driver.py
+++ b/rushmux/scheduling/driver.py
@@ -1,8 +1,8 @@
-"""Drives the scheduler on an event loop and carries out what it decides.
+"""Runs the scheduler on an event loop and carries out its decisions.
 
-The driver decides nothing and knows no wire protocol.  Events are collected while the loop turns, and each
-round of them is closed by `run_round`, no sooner than the settings' interval after the last round.  A gateway
-derives from `OperationDriver`, hands operations to `submit`, and implements `send_attempt`.
+The driver makes no decisions and is independent of the wire protocol.  It collects events and delivers them
+in rounds, which `run_round` closes, at least `round_interval` apart.  A gateway derives from
+`OperationDriver`, passes operations to `submit`, and implements `send_attempt`.
 """
 
 import asyncio
@@ -28,36 +28,36 @@
 from rushmux.scheduling.scheduler import Scheduler
 
 TICKS_PER_SECOND = 10_000
-PAUSE_THRESHOLD = 0.001  # seconds that a timer is late when this process was not running
-READ_FIRST = 0.002  # seconds until a late time-out is judged: the sockets are read in between
-NEVER = float("inf")  # the loop's time that never comes
+PAUSE_THRESHOLD = 0.001  # seconds: a timer later than this shows that this process was paused
+TIMEOUT_GRACE = 0.002  # seconds by which a timeout after a pause is postponed, so that sockets are read first
+NEVER = float("inf")  # later than any time of the loop
 
 
 class FinalAnswer(Enum):
-    """How an operation ended for its client."""
+    """The final answer to an operation's client."""
 
     SUCCEEDED = "succeeded"
     SHED = "shed"
-    """It did not and will not run."""
+    """The operation did not and will not run."""
     FAILED = "terminated"
-    """It may have run."""
+    """The operation may have run."""
 
 
 class AttemptHandle(Protocol):
-    """What a gateway tells of an attempt on its way, and may be told of it."""
+    """A gateway's handle of an attempt in flight."""
 
     sent: bool
     """Whether its last byte has left this process."""
 
     def drop(self) -> None:
-        """Nobody waits for it any more."""
+        """Abandons the attempt; its result is ignored."""
 
     def cancel(self) -> None:
-        """It is called off; its node is told where the protocol can."""
+        """Cancels the attempt, and notifies its node if the protocol supports it."""
 
 
 class Attempt(NamedTuple):
-    """An attempt that has not come back."""
+    """An attempt in flight."""
 
     node: str
     timer: asyncio.TimerHandle | None
@@ -66,7 +66,7 @@
 
 
 class AttemptReply(NamedTuple):
-    """How an attempt came back: what a node's answer holds beside the result."""
+    """The outcome of an attempt, with the contents of the node's answer."""
 
     result: AttemptResult
     value: Any = None
@@ -76,24 +76,24 @@
 
 @dataclass(eq=False, slots=True)
 class InFlightOperation:
-    """An operation from `submit` to the return of its last attempt."""
+    """An operation from `submit` until its last attempt has finished."""
 
     request: OperationRequest
     payload: Any
-    """What the gateway needs to make an attempt's message."""
+    """The data from which the gateway builds an attempt's message."""
     client_deadline: float
-    """The loop's time at which its client stops waiting."""
+    """The loop time at which its client stops waiting."""
     on_answer: Callable[[FinalAnswer, Any, Ticks], None]
     deadline_timer: asyncio.TimerHandle
     ended: bool = False
     attempts_started: int = 0
     attempts: dict[int, Attempt] = field(default_factory=dict)
     may_have_run_at: Ticks | None = None
-    """When the first attempt was decided that may have run."""
+    """When the first attempt that may have run was decided."""
 
 
 class OperationDriver:
-    """The scheduler and what it acts upon, for one start of a gateway (`interface.SchedulerActions`)."""
+    """Connects a scheduler to the event loop, for one start of a gateway (`interface.SchedulerActions`)."""
 
     def __init__(self, settings: SchedulerSettings, seed: int, log, scheduler_type: Callable = Scheduler):
         self.settings, self.log = settings, log
@@ -107,29 +107,29 @@
         self.scheduler = scheduler_type(settings, seed, self.now(), self)
 
     def now(self) -> Ticks:
-        """The loop's clock in ticks."""
+        """Returns the loop time in ticks."""
         return int(self.loop.time() * TICKS_PER_SECOND)
 
-    # What a gateway implements.
+    # Implemented by gateways.
 
     def send_attempt(
         self, number: int, node: str, operation: InFlightOperation, timeout: Ticks, latest_start: float
     ) -> AttemptHandle | None:
-        """Puts an attempt on its way and calls `on_reply` once, later.
+        """Starts sending an attempt; calls `on_reply` once, later.
 
-        It may wait for a connection, but its first byte is written before the loop's time `latest_start` or
-        never.  Returns its handle; None: there is nothing to tell.
+        The attempt may wait for a connection, but its first byte must be written before the loop time
+        `latest_start` or never.  Returns the attempt's handle, or None if it has no state to track.
         """
         raise NotImplementedError
 
     def answer_value(self, op_id: str, node: str, value: Any) -> Any:
-        """What the answer to the client of a succeeded operation holds."""
+        """Returns the value for the client of a successful operation."""
         return value
 
     # Events: each waits for its round, since the scheduler must not be called from within its own calls.
 
     def enqueue(self, handler: Callable, *values) -> None:
-        """Has `handler(now, *values)` called in the next round."""
+        """Schedules `handler(now, *values)` for the next round."""
         self.pending_events.append((handler, values))
         if self.round_scheduled:
             return
@@ -141,7 +141,7 @@
             self.loop.call_soon(self.run_round)
 
     def run_round(self) -> None:
-        """Tells the scheduler all events that are pending and closes the round."""
+        """Delivers all pending events to the scheduler and closes the round."""
         self.round_scheduled, self.last_round_at, now = False, self.loop.time(), self.now()
         events, self.pending_events = self.pending_events, []
         for handler, values in events:
@@ -149,25 +149,25 @@
         self.call_scheduler(None, self.scheduler.run_round, now)
 
     def call_scheduler(self, op_id: str | None, call: Callable, *values) -> None:
-        """Calls the scheduler; a fault in it is logged and costs one operation, not the gateway."""
+        """Calls the scheduler; an exception is logged and aborts one operation, not the gateway."""
         try:
             call(*values)
-        except Exception:  # whatever it is: all other operations go on
+        except Exception:  # of any kind: all other operations continue
             self.log.exception("scheduler.fault", op=op_id)
             if op_id is not None:
                 self.abort(op_id)
 
     def update_endpoints(self, kind: UpdateKind, endpoints: Iterable[Endpoint]) -> None:
-        """The endpoint list, or updates of it, arrived."""
+        """Delivers the endpoint list or an update of it."""
         self.enqueue(lambda now: self.call_scheduler(None, self.scheduler.on_endpoints, now, kind, endpoints))
 
     def submit(
         self, request: OperationRequest, payload: Any, client_deadline: float, on_answer: Callable
     ) -> None:
-        """Takes an operation whose client waits until the loop's time `client_deadline`.
+        """Accepts an operation whose client waits until the loop time `client_deadline`.
 
         `on_answer(answer, value, retry_after)` is called once, with a `FinalAnswer`.  The request's
-        `time_left` is worked out when the round begins.
+        `time_left` is computed when its round begins.
         """
         deadline = self.settings.request_classes[request.request_class].deadline
         latest = self.loop.time() + (deadline + self.settings.round_interval) / TICKS_PER_SECOND
@@ -175,43 +175,43 @@
         self.operations[request.op_id] = InFlightOperation(
             request, payload, client_deadline, on_answer, timer
         )
-        # While the process stood still, a client may have asked and left, and the round would come before the
-        # loop sees that.  It looks at the sockets between the two calls.
-        self.loop.call_soon(self.loop.call_soon, self.enqueue, self._tell_operation, request.op_id)
+        # During a pause of this process a client may have sent a request and disconnected.  The second call
+        # lets the loop notice the disconnect before the round begins.
+        self.loop.call_soon(self.loop.call_soon, self.enqueue, self._deliver_operation, request.op_id)
 
-    def _tell_operation(self, now: Ticks, op_id: str) -> None:
+    def _deliver_operation(self, now: Ticks, op_id: str) -> None:
         operation = self.operations.get(op_id)
         if operation is None or operation.ended:  # its client left before the round began
             return
         request = operation.request
         deadline = self.settings.request_classes[request.request_class].deadline
-        # A late round has used up a part of the client's time already.
-        remaining = int(operation.client_deadline * TICKS_PER_SECOND) - now
-        request = request._replace(time_left=max(0, min(deadline, remaining)))
+        # A late round has used up part of the client's time already.
+        time_left = int(operation.client_deadline * TICKS_PER_SECOND) - now
+        request = request._replace(time_left=max(0, min(deadline, time_left)))
         self.call_scheduler(op_id, self.scheduler.on_operation, now, request)
 
     def client_gone(self, op_id: str) -> None:
-        """The operation's client went away: nobody is owed an answer."""
+        """Ends an operation whose client disconnected; no answer is sent."""
         operation = self.operations.get(op_id)
         if operation is not None:
             operation.ended = True
             self._cancel_unsent(operation)
-            self.enqueue(self._tell_client_gone, op_id)
+            self.enqueue(self._deliver_client_gone, op_id)
 
     def abort(self, op_id: str) -> None:
-        """Ends an operation as failed without the scheduler.
+        """Ends an operation as failed without a decision of the scheduler.
 
-        The scheduler still holds it and would send it: its row stays until the scheduler was told.
+        The scheduler may still start attempts of it, so it is kept until the scheduler is notified.
         """
         operation = self.operations.get(op_id)
         if operation is not None and not operation.ended:
             self._answer(operation, FinalAnswer.FAILED)
-            self.enqueue(self._tell_client_gone, op_id)
+            self.enqueue(self._deliver_client_gone, op_id)
 
-    def _tell_client_gone(self, now: Ticks, op_id: str) -> None:
+    def _deliver_client_gone(self, now: Ticks, op_id: str) -> None:
         if op_id in self.operations:
             self.call_scheduler(op_id, self.scheduler.on_client_gone, now, op_id)
-            self._forget_if_over(op_id)
+            self._forget_if_done(op_id)
 
     def _answer(
         self, operation: InFlightOperation, answer: FinalAnswer, value: Any = None, retry_after: Ticks = 0
@@ -221,7 +221,7 @@
         self._cancel_unsent(operation)
 
     def _cancel_unsent(self, operation: InFlightOperation) -> None:
-        # Attempts that wait for a connection would be sent when it comes, for a client that has gone or was
+        # Attempts that wait for a connection would otherwise be sent later, for a client that has left or was
         # answered.
         for number, attempt in operation.attempts.items():
             if attempt.handle is not None and not attempt.handle.sent:
@@ -233,7 +233,7 @@
             self.log.error("scheduler.overrun", op=op_id)
             self.abort(op_id)
 
-    def _forget_if_over(self, op_id: str) -> None:
+    def _forget_if_done(self, op_id: str) -> None:
         operation = self.operations.get(op_id)
         if operation is not None and operation.ended and not operation.attempts:
             operation.deadline_timer.cancel()
@@ -242,28 +242,28 @@
     # Attempts.
 
     def on_reply(self, op_id: str, number: int, reply: AttemptReply) -> None:
-        """An attempt came back."""
-        self.enqueue(self._tell_reply, op_id, number, reply)
+        """Delivers the outcome of an attempt."""
+        self.enqueue(self._deliver_reply, op_id, number, reply)
 
     def on_timeout(self, op_id: str, number: int, due: float) -> None:
-        """An attempt's time, which ended at the loop's time `due`, is over."""
+        """Times out an attempt that was due at the loop time `due`."""
         reply = AttemptReply(AttemptResult.TIMED_OUT)
-        # If this process stood still, the answer waits in its socket, and a healthy node would be blamed.
+        # After a pause of this process the answer may still be unread in the socket of a healthy node.
         if self.loop.time() - due > PAUSE_THRESHOLD:
-            self.loop.call_later(READ_FIRST, self.on_reply, op_id, number, reply)
+            self.loop.call_later(TIMEOUT_GRACE, self.on_reply, op_id, number, reply)
         else:
             self.on_reply(op_id, number, reply)
 
-    def _tell_reply(self, now: Ticks, op_id: str, number: int, reply: AttemptReply) -> None:
+    def _deliver_reply(self, now: Ticks, op_id: str, number: int, reply: AttemptReply) -> None:
         operation = self.operations.get(op_id)
         if operation is None or number not in operation.attempts:
-            return  # it had come back before, as timed out
+            return  # the attempt has timed out before
         attempt = operation.attempts.pop(number)
         result = self._close_attempt(attempt, reply.result)
         if result not in NEVER_RAN and result is not AttemptResult.SUCCEEDED:
-            earlier = operation.may_have_run_at
+            earlier_at = operation.may_have_run_at
             decided_at = attempt.decided_at
-            operation.may_have_run_at = decided_at if earlier is None else min(decided_at, earlier)
+            operation.may_have_run_at = decided_at if earlier_at is None else min(decided_at, earlier_at)
         if result is AttemptResult.SUCCEEDED and not operation.ended:
             value = self.answer_value(op_id, attempt.node, reply.value)
             self._answer(operation, FinalAnswer.SUCCEEDED, value)
@@ -271,11 +271,11 @@
         self.log.debug("attempt.result", op=op_id, attempt=number, node=attempt.node, result=result)
         report = AttemptReport(op_id, number, result, operation.ended, reply.fleet_usage, reply.remote_usage)
         self.call_scheduler(op_id, self.scheduler.on_attempt_result, now, report)
-        self._forget_if_over(op_id)
+        self._forget_if_done(op_id)
 
     @staticmethod
     def _close_attempt(attempt: Attempt, result: AttemptResult) -> AttemptResult:
-        # What was given up before a byte of it was written never ran.
+        # An attempt given up before it was sent never ran.
         if attempt.timer is not None:
             attempt.timer.cancel()
         if attempt.handle is None:
@@ -286,10 +286,10 @@
         attempt.handle.drop()
         return result
 
-    # What the scheduler decides (`interface.SchedulerActions`).
+    # Decisions of the scheduler (`interface.SchedulerActions`).
 
     def start_attempt(self, op_id: str, node: str, timeout: Ticks) -> None:
-        """Sends the operation's next attempt; nothing is sent for one that was answered."""
+        """Sends the operation's next attempt, unless the operation was answered."""
         operation = self.operations[op_id]
         number = operation.attempts_started
         operation.attempts_started += 1
@@ -305,8 +305,8 @@
         operation.attempts[number] = Attempt(node, timer, decided_at, handle)
 
     def _latest_start(self, operation: InFlightOperation) -> float:
-        # The scheduler decides on a repeat of a keyed operation within the window in which nodes remember it;
-        # sent past it, when a connection comes at last, it would have its effect twice.
+        # The scheduler retries a keyed operation only while nodes remember its key.  A retry that is sent
+        # later, after a wait for a connection, would take effect twice.
         request_class = self.settings.request_classes[operation.request.request_class]
         if request_class.idempotency is not Idempotency.KEYED:
             return NEVER
@@ -320,7 +320,7 @@
         return latest / TICKS_PER_SECOND
 
     def cancel_attempt(self, op_id: str, attempt: int) -> None:
-        """Calls an attempt off; its result comes with the next round."""
+        """Cancels an attempt; its result is delivered in the next round."""
         handle = self.operations[op_id].attempts[attempt].handle
         if handle is not None:
             handle.cancel()
@@ -331,36 +331,36 @@
         self._end(op_id, FinalAnswer.SHED, retry_after)
 
     def fail(self, op_id: str) -> None:
-        """Answers that the operation failed."""
+        """Answers that the operation failed and may have run."""
         self._end(op_id, FinalAnswer.FAILED, 0)
 
     def _end(self, op_id: str, answer: FinalAnswer, retry_after: Ticks) -> None:
         operation = self.operations.get(op_id)
         if operation is not None and not operation.ended:
             self._answer(operation, answer, None, retry_after)
-            self._forget_if_over(op_id)
+            self._forget_if_done(op_id)
 
     def wake_after(self, delay: Ticks) -> None:
-        """Has a round run after a delay; the scheduler asks anew only for an earlier one."""
+        """Schedules a round after a delay, replacing an earlier request."""
         if self.wake_timer is not None:
             self.wake_timer.cancel()
         self.wake_timer = self.loop.call_later(delay / TICKS_PER_SECOND, self.enqueue, self._on_wake)
 
     def _on_wake(self, now: Ticks) -> None:
-        """A wake has no event of its own: `run_round` follows."""
+        """Does nothing: a wake-up only triggers `run_round`."""
 
     def poll_endpoints(self) -> None:
-        """Updates of the endpoint list come by themselves."""
+        """Does nothing: updates of the endpoint list are pushed."""
 
     def request_load_report(self, node: str) -> None:
-        """Asks a node for its load; here, where no node can be asked, that fails in the next round."""
+        """Reports in the next round that the request failed; overridden where nodes report their load."""
         failed = AttemptResult.CONNECT_FAILED
         self.enqueue(
             lambda now: self.call_scheduler(None, self.scheduler.on_load_report, node, failed, None, None)
         )
 
     def report_volume(self, event: VolumeEvent) -> None:
-        """Logs a change of what is kept of a volume."""
+        """Logs a change in the state of a volume."""
         self.log.info(
             f"volume.{event.kind}",
             volume=event.volume,
--- a/rushmux/scheduling/endpoint_picker.py
+++ b/rushmux/scheduling/endpoint_picker.py
@@ -1,25 +1,25 @@
-"""Finds an operation's cell: the one that holds its data, or for a new object the better of two drawn."""
+"""Chooses an operation's cell: the one with its data, or for a new object the better of two random ones."""
 
 from rushmux.scheduling.interface import EndpointState, GiveUpReason, Idempotency
 from rushmux.scheduling.records import Stage
 
-MAX_DRAWS = 10  # for two nodes that are fit: enough with half of them resting
-CHOICES = 2  # fit cells of which the better one is taken, from the design
-RESERVED_FACTOR = 3  # room for passed deadlines against room for slack: reserves are what is owed
+MAX_DRAWS = 10  # draws for two usable cells: enough when half of the nodes are suspended
+CHOICES = 2  # usable cells of which the less loaded one is taken ("power of two choices")
+RESERVED_FACTOR = 3  # limit for operations due by a reserve, a guarantee, relative to the limit for slack
 
 
 def least_loaded(cell):
-    """The ready node of a cell with the fewest attempts in flight, or None."""
+    """Returns the ready node of a cell with the fewest attempts in flight, or None."""
     ready = (node for node in cell.nodes.values() if node.endpoint.state is EndpointState.READY)
     return min(ready, key=lambda node: len(node.in_flight), default=None)
 
 
 class EndpointPicker(Stage):
-    """The second stage."""
+    """The second stage: assigns a cell to each operation."""
 
     def accept(self, operation, now):
-        """Sets the operation's cell; it is given up where no node is listed."""
-        # What may have run and is known by its key stays with its cell.
+        """Sets the operation's cell; without any listed node the operation is given up."""
+        # An operation that may have run stays in its cell, whose nodes recognize a repeat by its key.
         movable = operation.request_class.idempotency is Idempotency.IDEMPOTENT
         if operation.cell is None or operation.may_have_run_at is None or movable:
             cells, number = self.scheduler.endpoints.cells, operation.requested_cell
@@ -29,24 +29,25 @@
         return operation.cell is not None
 
     def pick(self, units, now):
-        """The better of two drawn cells with a fit node, else the first with a ready one, or None.
+        """Returns the less loaded of two random usable cells, else the first one drawn, or None.
 
-        A cell whose node has no room or is in slow start is drawn again, else silent nodes would get objects.
+        Cells whose node has no free capacity or is in slow start are skipped; otherwise unresponsive nodes
+        would receive new objects.
         """
-        cells, fit, ready = self.scheduler.endpoints.listed_cells, [], None
+        cells, usable, first_drawn = self.scheduler.endpoints.listed_cells, [], None
         for _ in range(MAX_DRAWS if cells else 0):
             cell = cells[self.scheduler.random.below(len(cells))]
             node = least_loaded(cell)
-            ready = ready or cell
-            if node and self._is_fit(cell, node, units, now):
+            first_drawn = first_drawn or cell
+            if node and self._is_usable(cell, node, units, now):
                 load = len(node.in_flight) + sum(map(len, cell.queues.values())) + 1
-                fit.append((load / node.limit.size, len(fit), cell))
-                if len(fit) == CHOICES:
+                usable.append((load / node.limit.size, len(usable), cell))
+                if len(usable) == CHOICES:
                     break
-        return min(fit)[2] if fit else ready
+        return min(usable)[2] if usable else first_drawn
 
-    def _is_fit(self, cell, node, units, now):
+    def _is_usable(self, cell, node, units, now):
         if node.limit.next_admission(RESERVED_FACTOR, now) > now:
             return False
-        needed = self.settings.max_units if cell.queues else units
-        return node.slow_start_allowance(self.scheduler, units, now) >= needed
+        min_allowance = self.settings.max_units if cell.queues else units
+        return node.slow_start_allowance(self.scheduler, units, now) >= min_allowance
--- a/rushmux/scheduling/interface.py
+++ b/rushmux/scheduling/interface.py
@@ -1,11 +1,10 @@
-"""What goes into the scheduler and what comes out of it.
+"""The scheduler's inputs and outputs.
 
-A `scheduler.Scheduler` is built once for each start of a gateway and then called with the events of
-`SchedulerEvents`; it answers through the calls of a `SchedulerActions`.  All times and durations are `Ticks`
-on the caller's clock, which never moves backwards.  Ids of operations, nodes, volumes and keys are opaque.
+A `scheduler.Scheduler` is created at each start of a gateway.  It receives the events of `SchedulerEvents`
+and responds by calling a `SchedulerActions`.  All times and durations are `Ticks` on the caller's clock,
+which never moves backwards.  Ids of operations, nodes, volumes and keys are opaque.
 
-The value of each enum member is its spelling in stored notations (deployment files, scenarios, recorded
-histories), which stays as it is.
+Enum values are stored in deployment files, scenarios and recorded histories, so they must not change.
 """
 
 from collections.abc import Mapping, Sequence
@@ -19,16 +18,16 @@
 
 
 class Idempotency(StrEnum):
-    """Whether an operation may be attempted again once it may have run."""
+    """Whether an operation that may have run can be attempted again."""
 
     IDEMPOTENT = "replayable"
     KEYED = "referenced"
-    """Nodes drop a repeat by its key, within a window and a scope."""
+    """Nodes recognize a repeat by its key, within a time window and a scope, and ignore it."""
     NOT_IDEMPOTENT = "single-use"
 
 
 class DedupScope(StrEnum):
-    """Which nodes share what they remember of a keyed operation."""
+    """Which nodes share the keys of operations that they have run."""
 
     ALL = "all"
     ZONE = "zone"
@@ -36,21 +35,21 @@
 
 
 class AttemptResult(StrEnum):
-    """How an attempt came back."""
+    """The outcome of an attempt."""
 
     SUCCEEDED = "succeeded"
     FAILED = "errored"
-    """The node answered with an error; it may have run."""
+    """The node answered with an error; the operation may have run."""
     REJECTED = "full"
-    """The node turned it away unread."""
+    """The node rejected it without running it."""
     TIMED_OUT = "overdue"
-    """No answer in time; it may still run."""
+    """No answer in time; the operation may still run."""
     CONNECT_FAILED = "unreached"
-    """No connection was made."""
+    """No connection could be made."""
     CONNECTION_LOST = "severed"
-    """The connection broke; it may have run."""
+    """The connection broke; the operation may have run."""
     CANCELLED = "withdrawn"
-    """Called off by this gateway; it may have run."""
+    """Cancelled by this gateway; the operation may have run."""
     NOT_SENT = "moot"
     """Never sent."""
 
@@ -62,7 +61,7 @@
 
 
 class EndpointState(StrEnum):
-    """What a node's entry says of it."""
+    """A node's state in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -70,90 +69,90 @@
 
 
 class GiveUpReason(StrEnum):
-    """Why an operation got its final answer without a success."""
+    """Why an operation ended without success."""
 
     RATE_LIMIT = "rate_limit"
-    """Its volume's limit did not let it go before its latency objective."""
+    """The volume's limit did not admit it before its latency objective."""
     CAPACITY = "capacity"
-    """No node let it go before its latency objective, or would answer it in time."""
+    """No node could accept it before its latency objective, or would answer in time."""
     ROUTE_FULL = "route_full"
-    """Its route has too many in flight."""
+    """Its route has too many operations in flight."""
     NO_ENDPOINT = "no_endpoint"
-    """No node is listed that could take it."""
+    """No listed node can serve it."""
     NO_RETRY = "no_retry"
-    """An attempt came back without a success, and no other may be made."""
+    """An attempt failed and no other is allowed."""
 
 
 class VolumeEventKind(StrEnum):
-    """What changed in what a gateway keeps of a volume."""
+    """A change in a gateway's state of a volume."""
 
     STARTED = "started"
-    """It was not known, or forgotten."""
+    """The volume's first operation, or the first since the volume was forgotten."""
     USAGE_REPORTED = "usage_reported"
-    """Answers hold a figure of the fleet's usage, after none before."""
+    """Answers began to contain the fleet's usage."""
     USAGE_MISSING = "usage_missing"
-    """They hold none, after a figure before."""
+    """Answers no longer contain the fleet's usage."""
     SPLIT_FURTHER = "split_further"
-    """A request names more gateways than those before."""
+    """A request names more gateways than any before it."""
     FORGOTTEN = "forgotten"
-    """It was idle for long."""
+    """Its state was dropped after a long idle time."""
 
 
 class UpdateKind(StrEnum):
-    """What an update of the endpoint list is."""
+    """The kind of an endpoint list update."""
 
     DELTA = "changes"
     SNAPSHOT = "whole"
     RECOVERED = "restored"
-    """A snapshot of before this start."""
+    """A snapshot stored before this start."""
     UNAVAILABLE = "unavailable"
-    """Discovery could not be asked."""
+    """Discovery could not be reached."""
 
 
 class RequestClass(NamedTuple):
-    """One class of requests: what the scheduler reads of it."""
+    """The properties of a request class that the scheduler uses."""
 
     name: str
     latency_objective: Ticks
     deadline: Ticks
-    """From arrival to the last moment for a final answer."""
+    """Time from arrival by which the final answer is due."""
     priority_weight: float
     idempotency: Idempotency
     dedup_scope: DedupScope
     dedup_window: Ticks
-    """How long nodes remember a keyed operation."""
+    """How long nodes remember the key of an operation."""
     ordered: bool
-    """Operations of one key run one at a time, in order of arrival."""
+    """Operations with the same key run one at a time, in order of arrival."""
 
 
 class QosPlan(NamedTuple):
-    """A volume's entitlement over all gateways and nodes, in units and units a second."""
+    """A volume's entitlement over all gateways and nodes, in units and units per second."""
 
     name: str
     nominal: float
     reserve: float
     limit: float
-    """0: none."""
+    """0: no limit."""
     burst: float
     slack: float
-    """Units by which the rule on limits may be passed; no decision uses them up."""
+    """Units by which the rule on limits may be exceeded; the scheduler does not use this tolerance."""
     weight: float
     price: float
 
 
 class RoutePolicy(NamedTuple):
-    """What the settings state for the operations of a class and plan; the scheduler only tightens it."""
+    """Configured bounds for the operations of one class and plan; the scheduler may apply tighter ones."""
 
     attempt_timeout: Ticks = UNLIMITED
     max_attempts: int = UNLIMITED
-    """Of one operation, hedged requests counted."""
+    """Per operation, including hedged requests."""
     retry_delay: Ticks = 0
     hedge_after: Ticks | None = 0
-    """No hedged request is sent before; None: none is sent at all."""
+    """Minimum delay before a hedged request; None: hedging is off."""
     max_in_flight: int = UNLIMITED
-    """Operations that a gateway holds at a time; others are shed."""
+    """Unfinished operations per gateway; further ones are shed."""
     retry_ratio: float = 0.0
-    """Retries earned by each operation, saved up to `retry_burst`."""
+    """Retry credit earned per operation, up to `retry_burst`."""
     retry_burst: float = UNLIMITED
 
 
@@ -162,64 +161,64 @@
 
 
 class SchedulerSettings(NamedTuple):
-    """What a deployment states at the start of a gateway."""
+    """Settings of a deployment, fixed at the start of a gateway."""
 
     request_classes: dict[str, RequestClass]
     plans: dict[str, QosPlan]
     gateway_count: int
     round_interval: Ticks
-    """The shortest time between two rounds of events."""
+    """Minimum time between two rounds."""
     polls_endpoints: bool
-    """Updates of the endpoint list come only to those who poll for them."""
+    """Whether updates of the endpoint list have to be polled for."""
     poll_interval: Ticks
     max_attempts: int
-    """Of one operation."""
+    """Per operation."""
     max_retry_after: Ticks
-    """The longest Retry-After that clients follow; 0: none is passed on."""
+    """The longest Retry-After that clients honor; 0: none is sent."""
     mean_units: float
     max_units: float
-    """The largest operation."""
+    """Units of the largest operation."""
     slow_start_units: float
-    """What a node in slow start bears within `slow_start_window` from all gateways."""
+    """What a node in slow start can take within `slow_start_window` from all gateways together."""
     slow_start_window: Ticks
     overload_multiple: float
-    """Of its capacity: what overloads a node in slow start when it is sent for a whole window."""
+    """Load over a whole window, as a multiple of capacity, that overloads a node in slow start."""
     initial_capacity: float
-    """Part of its capacity that a node starts with, at least."""
+    """Minimum fraction of its capacity that a node has when it starts."""
     warm_up_time: Ticks
     usage_period: Ticks
-    """Period of the fleet's usage meter; 0: none."""
+    """Period of the fleet's usage meter; 0: there is no meter."""
     key_cooldown: Ticks
-    """How long a key rests after an attempt that may still run."""
+    """How long no other operation of a key is sent after an attempt that may still run."""
     retry_budget_ratio: float | None
-    """Retries for each operation within `retry_budget_window`; None: no budget."""
+    """Retries per operation within `retry_budget_window`; None: no budget."""
     retry_budget_burst: float
     retry_budget_window: Ticks
     allows_hedging: bool = False
-    """An operation may have two attempts in flight."""
+    """Whether an operation may have two attempts in flight."""
     allows_cancellation: bool = False
     reports_load: bool = False
-    """Nodes tell their load, the service time at least, to who asks."""
+    """Whether nodes report their load on request, including the service time at least."""
     route_policies: Mapping[tuple[str, str], RoutePolicy] = NO_ROUTE_POLICIES
-    """By names of class and plan; others have `NO_ROUTE_POLICY`."""
+    """By names of class and plan; all others have `NO_ROUTE_POLICY`."""
 
     @property
     def shortest_objective(self) -> Ticks:
-        """The shortest latency objective of all classes."""
+        """The shortest latency objective of any class."""
         return min(each.latency_objective for each in self.request_classes.values())
 
     @property
     def highest_weight(self) -> float:
-        """The highest priority weight of all classes."""
+        """The highest priority weight of any class."""
         return max(each.priority_weight for each in self.request_classes.values())
 
 
 class Endpoint(NamedTuple):
-    """A node as the endpoint list shows it."""
+    """A node's entry in the endpoint list."""
 
     node: str
     cell: int
-    """The shard of data that it holds."""
+    """The shard of data that the node holds."""
     zone: str
     state: EndpointState
     online_since: Ticks
@@ -227,106 +226,106 @@
 
 
 class OperationRequest(NamedTuple):
-    """An operation that a client asks for."""
+    """A client's request for an operation."""
 
     op_id: str
     request_class: str
     plan: str
     volume: str
     key: str
-    """Operations on one piece of data share it; empty: none."""
+    """Identifies the piece of data; empty: none."""
     time_left: Ticks
-    """Until its client stops waiting."""
+    """Time until the client stops waiting."""
     units: float
     cell: int
-    """The cell that holds its data; negative: a new object, which may be placed anywhere."""
+    """The cell that holds the data; negative: a new object, which may be placed anywhere."""
     gateway_count: int
-    """Gateways that share the volume."""
+    """Number of gateways that serve the volume."""
     is_retry: bool
 
 
 class AttemptReport(NamedTuple):
-    """How an attempt of an operation came back."""
+    """The outcome of an attempt, with the usage that the node reported."""
 
     op_id: str
     attempt: int
     """Its number, 0 for the first."""
     result: AttemptResult
     operation_ended: bool
-    """Its client was answered, or nobody waits for the answer any more."""
+    """Whether the client was answered or stopped waiting."""
     fleet_usage: int
-    """1 + percent of the plan's rate that the fleet used in a finished period; 0: not told."""
+    """1 + the percentage of the plan's rate that the fleet used in a finished period; 0: not reported."""
     remote_usage: float
     """Units served for the volume through other gateways since the last answer."""
 
 
 class VolumeEvent(NamedTuple):
-    """A change in what a gateway keeps of a volume that has a limit."""
+    """A change in a gateway's state of a volume that has a limit."""
 
     kind: VolumeEventKind
     volume: str
     plan: str
     gateway_count: int
     limit_level: float
-    """Units that its limit bucket holds."""
+    """Units in its limit bucket."""
     limit_capacity: float
     limit_rate: float
-    """Units a second."""
+    """Units per second."""
 
 
 class SchedulerActions(Protocol):
-    """What the scheduler may do.  Each call takes effect at the time of the event it answers."""
+    """Calls from the scheduler.  Each takes effect at the time of the event that caused it."""
 
     def start_attempt(self, op_id: str, node: str, timeout: Ticks) -> None:
         """Sends the operation's next attempt to a node."""
 
     def shed(self, op_id: str, retry_after: Ticks) -> None:
-        """Gives the final answer that the operation did not and will not run; 0: no Retry-After."""
+        """Answers that the operation did not and will not run; 0: without Retry-After."""
 
     def fail(self, op_id: str) -> None:
-        """Gives the final answer that the operation failed; it may have run."""
+        """Answers that the operation failed; it may have run."""
 
     def wake_after(self, delay: Ticks) -> None:
-        """Asks for a round after a delay; replaces what was asked for before."""
+        """Requests a round after a delay, replacing any earlier request."""
 
     def poll_endpoints(self) -> None:
-        """Asks for the endpoint list and its updates."""
+        """Requests the endpoint list and its updates."""
 
     def cancel_attempt(self, op_id: str, attempt: int) -> None:
-        """Calls an attempt off; it still comes back."""
+        """Cancels an attempt; its result is still reported."""
 
     def request_load_report(self, node: str) -> None:
         """Asks a node for its load."""
 
     def report_volume(self, event: VolumeEvent) -> None:
-        """Tells operators of a change; nothing has to be done."""
+        """Informs operators of a change; no action is required."""
 
 
 class SchedulerEvents(Protocol):
-    """What the scheduler is told.  `run_round` closes each round of events."""
+    """Calls to the scheduler.  `run_round` closes each round of events."""
 
     def on_endpoints(self, now: Ticks, kind: UpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """The endpoint list, or updates of it, arrived."""
+        """The endpoint list or an update of it arrived."""
 
     def on_operation(self, now: Ticks, request: OperationRequest) -> None:
-        """A client asks for an operation."""
+        """A client requested an operation."""
 
     def on_attempt_result(self, now: Ticks, report: AttemptReport) -> None:
-        """An attempt came back."""
+        """An attempt finished."""
 
     def on_load_report(
         self, node: str, result: AttemptResult, queue: float | None, service: float | None
     ) -> None:
-        """A node told its load: operations queued, ticks of a recent one's service; None: not told."""
+        """A node reported its queue length and its recent service time in ticks; None: not reported."""
 
     def on_client_gone(self, now: Ticks, op_id: str) -> None:
-        """The operation needs no answer any more."""
+        """The operation's client no longer waits for an answer."""
 
     def on_quota(self, now: Ticks, volume: str, share: float) -> None:
         """This gateway's share of a volume's limit changed."""
 
     def on_route_policies(self, policies: Mapping[tuple[str, str], RoutePolicy]) -> None:
-        """Route policies for operations from now on."""
+        """The route policies of new operations changed."""
 
     def run_round(self, now: Ticks) -> None:
-        """Acts on all events since the last round."""
+        """Acts on all events since the previous round."""
--- a/rushmux/scheduling/key_serializer.py
+++ b/rushmux/scheduling/key_serializer.py
@@ -1,4 +1,4 @@
-"""Keeps the operations of one key in order: one at a time, in the order in which they arrived."""
+"""Runs the operations of one key one at a time, in order of arrival."""
 
 from collections import deque
 
@@ -12,23 +12,23 @@
     def __init__(self, scheduler):
         super().__init__(scheduler)
         self.queues = {}  # key -> operations in order of arrival
-        self.cooldowns = {}  # key -> until when it rests, the oldest first
+        self.cooldowns = {}  # key -> end of its cooldown, oldest first
 
     def accept(self, operation, now):
-        """Whether it is the first of its key, and the key does not rest."""
+        """Returns whether the operation is the first of its key, and the key is not in cooldown."""
         if not (operation.request_class.ordered and operation.key):
             return True
         queue = self.queues.setdefault(operation.key, deque())
         if operation not in queue:
             queue.append(operation)
-        first, rests_until = queue[0] is operation, self.cooldowns.get(operation.key, 0)
-        rested = operation.attempts_started > 0 or rests_until <= now  # who has the turn may retry at once
-        if first and not rested:
-            self.scheduler.look_again_at(rests_until, operation)
-        return first and rested
+        is_first, cooldown_until = queue[0] is operation, self.cooldowns.get(operation.key, 0)
+        may_start = operation.attempts_started > 0 or cooldown_until <= now  # retries need not wait
+        if is_first and not may_start:
+            self.scheduler.schedule_check(cooldown_until, operation)
+        return is_first and may_start
 
     def on_result(self, operation, attempt, node, result, now):
-        """Has the key rest after what may still run; the next takes its turn after an ended operation."""
+        """Starts a cooldown if the attempt may still run, and the next operation if this one ended."""
         if result in MAY_STILL_RUN and operation.request_class.ordered:
             self.cooldowns.pop(operation.key, None)
             self.cooldowns[operation.key] = now + self.settings.key_cooldown + 1
--- a/rushmux/scheduling/limit_bucket.py
+++ b/rushmux/scheduling/limit_bucket.py
@@ -1,24 +1,24 @@
-"""This gateway's share of the token bucket that holds a volume's limit over all gateways.
+"""This gateway's share of the token bucket that enforces a volume's limit over all gateways.
 
-The shares of all gateways, what is reserved of them included, never hold more together than the volume's one
-bucket.  So each gateway keeps the limit by itself, whatever restarts, is lost, comes late or is told untruly.
+All gateways' shares together, including reserved units, never hold more than one bucket of the whole volume
+would.  So each gateway enforces the limit on its own, whatever restarts or is lost, late or misreported.
 """
 
 from rushmux.scheduling.records import NEVER, SECOND
 
-ROUNDING = 1e-6  # units by which sums of floats may be off
+ROUNDING = 1e-6  # units: tolerance for rounding errors of float sums
 
 
 class LimitBucket:
-    """A token bucket whose units count as used once a node has them.
+    """A token bucket whose units count as used when they reach a node.
 
-    Units that were let go are reserved until it is known that a node has them, or that none will get them.
-    They may come at any moment until then, and leave no place that could be filled meanwhile.  A plan without
-    a limit lets everything go.
+    Units of operations that were sent stay reserved until they are known to have reached a node, or never to
+    do so.  They may arrive at any moment until then, so the bucket must not refill in their place.  A plan
+    without a limit admits everything.
     """
 
     def __init__(self, plan, share, filling_since, now):
-        """A share that was empty at a time and has filled since; `share`: a part of the plan's limit."""
+        """Creates the bucket, empty at `filling_since`, with the fraction `share` of the plan's limit."""
         self.plan = plan
         self.updated_at = filling_since
         self.level = self.reserved = 0.0
@@ -26,43 +26,43 @@
         self.advance(now)
 
     def set_share(self, share, now):
-        """Takes over another share: what is above a smaller one is another gateway's by now."""
+        """Changes the share; units above a smaller one now belong to another gateway."""
         self.advance(now)
         self.rate, self.capacity = self.plan.limit * share, self.plan.burst * share
         self.level = min(self.level, self.capacity - self.reserved)
 
     def split_further(self, share, now):
-        """Takes over a smaller share beside others that begin with shares of their own; owes theirs."""
+        """Shrinks the share in favor of gateways that start with shares of their own, and debits those."""
         lost_capacity = self.capacity - self.plan.burst * share
         self.advance(now)
         self.level -= lost_capacity
         self.set_share(share, now)
 
     def advance(self, now):
-        """Fills it up to now."""
+        """Refills the bucket up to now."""
         elapsed, self.updated_at = (now - self.updated_at) / SECOND, now
         self.level = min(self.capacity - self.reserved, self.level + self.rate * elapsed)
 
     def release_time(self, units, now):
-        """When to look whether it has the units."""
+        """Returns when to check for the units; the current time if they are available."""
         if not self.plan.limit or self.level >= units:
             return now
         return now + 1 + int((units - self.level) / self.rate * SECOND) if self.rate else NEVER
 
     def reserve(self, units):
-        """Lets units go to a node."""
+        """Reserves units that are sent to a node."""
         self.level -= units
         self.reserved += units
 
     def settle(self, units, now):
-        """Counts reserved units as used: a node has them, or none will get them."""
+        """Counts reserved units as used: they reached a node, or no node will receive them."""
         self.advance(now)
         self.reserved -= units
-        if self.reserved < ROUNDING:  # else it would never be full again
+        if self.reserved < ROUNDING:  # otherwise the bucket would never be full again
             self.reserved = 0.0
 
     def full_at(self):
-        """When it is full if nothing more is let go; with units reserved that is not known."""
+        """Returns when the bucket will be full if nothing more is sent; `NEVER` while units are reserved."""
         if not self.plan.limit or not self.capacity:
             return self.updated_at
         if self.reserved or not self.rate:
--- a/rushmux/scheduling/pacer.py
+++ b/rushmux/scheduling/pacer.py
@@ -1,4 +1,4 @@
-"""Queues operations by cell and volume; says which goes next as buckets, averages and limits have it."""
+"""Queues operations by cell and volume, and chooses the next one by buckets, usage and limits."""
 
 from bisect import insort
 
@@ -10,31 +10,31 @@
 
 
 class Pacer(Stage):
-    """The third stage."""
+    """The third stage: holds operations until a node and the limit bucket admit them."""
 
     def __init__(self, scheduler):
         super().__init__(scheduler)
         self.highest_weight = self.settings.highest_weight
 
     def accept(self, operation, now):
-        """Queues it: of one volume the highest priority weight goes first, then the first that arrived."""
+        """Queues the operation by priority weight, then by arrival."""
         cell, queue = operation.cell, operation.cell.queues.setdefault(operation.volume, [])
         insort(queue, operation, key=lambda each: (-each.request_class.priority_weight, each.arrived_at))
         operation.queued = True
-        wanted_lately = now - cell.last_wanted_at < self.settings.slow_start_window
-        cell.sharing_gateways = max(operation.volume.gateway_count, cell.sharing_gateways * wanted_lately)
-        cell.last_wanted_at = now
+        is_recent = now - cell.last_requested_at < self.settings.slow_start_window
+        cell.sharing_gateways = max(operation.volume.gateway_count, cell.sharing_gateways * is_recent)
+        cell.last_requested_at = now
         self.scheduler.changed_cells[cell] = True
         return False
 
     def on_result(self, operation, attempt, node, result, now):
-        """Takes back what a failed attempt was charged: fast errors would make a failing volume look fed."""
+        """Refunds a failed attempt; otherwise a volume with fast errors would seem well served."""
         operation.volume.settle_limit(operation, now, result)
         if result is not AttemptResult.SUCCEEDED:
             operation.volume.charge(-operation.units)
 
     def release_time(self, operation, node, now):
-        """When to look whether the limit bucket and the node's slow start let it go."""
+        """Returns when to check the limit bucket and slow start; now if they admit the operation."""
         if operation.units > node.slow_start_allowance(self.scheduler, operation.units, now):
             return now + BIN_WIDTH
         return (
@@ -42,11 +42,11 @@
         )
 
     def next_admission(self, node, factor, now):
-        """When its limits, `factor` times as large, let the next attempt go to a node."""
+        """Returns when the node's limits, scaled by `factor`, admit the next attempt."""
         return max(limit.next_admission(factor, now) for limit in node.limits)
 
     def choose(self, cell, node, now):
-        """The operation to go to a node next, or None; sets when to look at the cell again."""
+        """Returns the next operation for a node or None, and schedules the cell's next check."""
         reserved_at = self.next_admission(node, RESERVED_FACTOR, now)
         slack_at = self.next_admission(node, 1, now)
         if slack_at > now:
@@ -55,34 +55,34 @@
             cell.check_by(reserved_at if reserved_at > now else slack_at)
         if reserved_at > now or len(node.in_flight) >= MAX_IN_FLIGHT:
             return None
-        # An idle node's own report tells better than answer times.
+        # For an idle node its load report is a better estimate than past latencies.
         latency = 0 if node.reports_load and not node.in_flight else self.scheduler.typical_latency(node)
-        due, earliest, slack, lowest = None, NEVER, None, NEVER
+        due, earliest_deadline, slack, lowest_usage = None, NEVER, None, NEVER
         for volume, queue in list(cell.queues.items()):
-            self._drop_hopeless(queue, node, latency, now)
+            self._shed_hopeless(queue, node, latency, now)
             if not queue or not self._is_released(queue[0], node, now):
                 continue
             operation = queue[0]
-            due_opens, slack_opens = self._admission_times(operation, node, reserved_at, slack_at, now)
+            due_from, slack_from = self._admission_times(operation, node, reserved_at, slack_at, now)
             deadline = max(operation.arrived_at, volume.deadline(operation.units, now))
-            if due_opens > now:
-                cell.check_by(due_opens)
-            elif deadline <= now and deadline < earliest:
-                due, earliest = operation, deadline
-            average = volume.usage.decayed_sum / volume.plan.weight
-            if slack_opens > now:
-                cell.check_by(slack_opens)
-            elif average < lowest:
-                slack, lowest = operation, average
+            if due_from > now:
+                cell.check_by(due_from)
+            elif deadline <= now and deadline < earliest_deadline:
+                due, earliest_deadline = operation, deadline
+            weighted_usage = volume.usage.decayed_sum / volume.plan.weight
+            if slack_from > now:
+                cell.check_by(slack_from)
+            elif weighted_usage < lowest_usage:
+                slack, lowest_usage = operation, weighted_usage
         return due or slack
 
-    def _drop_hopeless(self, queue, node, latency, now):
-        # What cannot be in time takes the place of what can: late retries, the oldest of a backlog, hurried
-        # clients that leave before the node, as it reports, can end their work.
+    def _shed_hopeless(self, queue, node, latency, now):
+        # An operation that cannot be in time takes the place of one that can: a late retry, the oldest of a
+        # backlog, or one whose client leaves before the node, by its load report, could finish.
         while queue:
-            usual = latency * (queue[0].arrived_at < now)
-            by_report = node.expected_service * queue[0].units / self.settings.mean_units
-            if queue[0].objective_at > now + max(usual, by_report):
+            expected_latency = latency * (queue[0].arrived_at < now)
+            reported_time = node.expected_service * queue[0].units / self.settings.mean_units
+            if queue[0].objective_at > now + max(expected_latency, reported_time):
                 return
             node.wants_report = True
             self.scheduler.give_up(queue[0], now, GiveUpReason.CAPACITY, late=True)
@@ -95,8 +95,8 @@
         return released_at <= now
 
     def _admission_times(self, operation, node, reserved_at, slack_at, now):
-        # Where nodes report load, less weight means less of the limits: what can wait must leave room.
-        part = operation.request_class.priority_weight / self.highest_weight if node.reports_load else 1
-        if part >= 1:
+        # Where nodes report load, classes of lower weight get a smaller part of the limits: they can wait.
+        share = operation.request_class.priority_weight / self.highest_weight if node.reports_load else 1
+        if share >= 1:
             return reserved_at, slack_at
-        return self.next_admission(node, RESERVED_FACTOR * part, now), self.next_admission(node, part, now)
+        return self.next_admission(node, RESERVED_FACTOR * share, now), self.next_admission(node, share, now)
--- a/rushmux/scheduling/records.py
+++ b/rushmux/scheduling/records.py
@@ -1,4 +1,4 @@
-"""Plain records of the decision logic's state; every decision on them stands in the files under `policy`."""
+"""Records of the scheduler's state."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EndedOperation(NamedTuple):
-    """What is remembered of an operation that ended, to know its client's retry by."""
+    """An operation that ended, kept to recognize a retry by its client."""
 
     key: str
     client_deadline: Ticks
@@ -27,7 +27,7 @@
 
 
 class SentUnits(NamedTuple):
-    """Units sent to a node; negative: given back for what it answered."""
+    """Units sent to a node; negative: credit for units that it answered."""
 
     at: Ticks
     units: float
@@ -35,35 +35,35 @@
 
 @dataclass(eq=False, slots=True)
 class RouteUsage:
-    """What a route policy's caps count: the operations of one class and plan that this gateway holds."""
+    """This gateway's usage of one route policy: operations in flight and credit for retries."""
 
     retry_credit: float
     in_flight: int = 0
 
     def on_operation(self, route: RoutePolicy) -> None:
-        """Counts an operation, which earns credit for retries."""
+        """Counts an operation and adds its retry credit."""
         self.in_flight += 1
         self.retry_credit = min(route.retry_burst, self.retry_credit + route.retry_ratio)
 
 
 @dataclass(eq=False, slots=True)
 class Cell:
-    """The nodes that hold one shard of data, and what is queued for them."""
+    """The nodes that hold one shard of data, and the operations queued for them."""
 
     nodes: dict[str, Node] = field(default_factory=dict)
     queues: dict[Volume, list[Operation]] = field(default_factory=dict)
     next_check: Ticks = NEVER
-    """When something queued may go."""
-    last_wanted_at: Ticks = -NEVER
+    """When a queued operation may become ready to send."""
+    last_requested_at: Ticks = -NEVER
     sharing_gateways: float = 1
-    """The most gateways of a volume that wanted the cell lately."""
+    """The highest gateway count of the volumes that used the cell recently."""
 
     def check_by(self, when: Ticks) -> None:
-        """Has the queues looked at no later than a time."""
+        """Schedules a check of the queues no later than `when`."""
         self.next_check = min(self.next_check, when)
 
     def remove(self, operation: Operation) -> None:
-        """Takes an operation out of its queue."""
+        """Removes an operation from its queue."""
         queue = self.queues[operation.volume]
         queue.remove(operation)
         if not queue:
@@ -73,7 +73,7 @@
 
 @dataclass(eq=False, slots=True)
 class Operation:
-    """An operation that this gateway has taken and not forgotten."""
+    """An operation from its arrival until it has ended and none of its attempts is in flight."""
 
     request: OperationRequest
     request_class: RequestClass
@@ -81,7 +81,7 @@
     arrived_at: Ticks
     objective_at: Ticks
     deadline_at: Ticks
-    """When it ends: some rounds before its client stops waiting."""
+    """When it must have ended: some rounds before `client_deadline`."""
     client_deadline: Ticks
     """When its client stops waiting."""
     route: RoutePolicy
@@ -90,20 +90,21 @@
     key: str = field(init=False)
     units: float = field(init=False)
     requested_cell: int = field(init=False)
-    """The cell that holds its data; negative: a new object."""
+    """The cell that holds the data; negative: a new object."""
     cell: Cell | None = None
     retry_at: Ticks = 0
-    """No attempt before, for the route's delay."""
+    """Earliest time of the next attempt, after the route's retry delay."""
     in_flight: dict[int, Node] = field(default_factory=dict)
-    """Attempt's number to its node: two with a hedged request."""
+    """Nodes by attempt number; two with a hedged request."""
     attempts_started: int = 0
     limit_reserved: float = 0.0
-    """Units let go that no node is known to have."""
+    """Units reserved in the limit bucket, not known to have reached a node."""
     hedged: bool = False
     hedge_at: Ticks = NEVER
     may_have_run_at: Ticks | None = None
-    """When the first attempt left that may have run, and to which node."""
+    """When the first attempt that may have run was sent."""
     may_have_run_on: Node | None = None
+    """The node of that attempt."""
     ended: bool = False
     queued: bool = False
 
@@ -114,7 +115,7 @@
 
 
 class Stage:
-    """A step of the way of an operation, which results pass in reverse order."""
+    """One of the scheduler's steps; operations pass them in order, results in reverse order."""
 
     def __init__(self, scheduler: Scheduler):
         self.scheduler = scheduler
@@ -122,8 +123,8 @@
         self.actions = scheduler.actions
 
     def accept(self, operation: Operation, now: Ticks) -> bool:
-        """Whether the operation goes on to the next stage at once."""
+        """Returns whether the operation passes to the next stage at once."""
         raise NotImplementedError
 
     def on_result(self, operation: Operation, attempt, node, result, now: Ticks) -> None:
-        """Sees how an attempt came back."""
+        """Processes the result of an attempt."""
--- a/rushmux/scheduling/scheduler.py
+++ b/rushmux/scheduling/scheduler.py
@@ -1,7 +1,7 @@
-"""The scheduler of one gateway: passes operations through the stages, after Zygaria (docs/design.md)."""
+"""The scheduler of one gateway; its stages follow Zygaria (docs/design.md)."""
 
 from rushmux.scheduling.concurrency_limit import ConcurrencyLimit
-from rushmux.scheduling.dispatcher import Dispatcher, is_harmless
+from rushmux.scheduling.dispatcher import Dispatcher, can_shed
 from rushmux.scheduling.endpoint_picker import EndpointPicker
 from rushmux.scheduling.interface import (
     NO_ROUTE_POLICY,
@@ -18,16 +18,16 @@
 from rushmux.scheduling.state import SchedulerState
 from rushmux.scheduling.volume import Volume
 
-RETRY_JITTER = 50  # ticks: how far a retry's deadline may be from its first try's
-POLL_RETRY_PART = 0.1  # of the interval within which the list must be polled: for a lost or failed poll
-VOLUME_IDLE_TIME = 600_000  # ticks: volumes come and go for hours; one idle so long is as never seen
-USAGE_NOTE_INTERVAL = 100_000  # ticks between two notes of one volume: figures that come and go fill no log
-REPORT_INTERVAL = 20_000  # ticks until a node is asked for its load again: tens of gateways ask, it caps them
-ANSWER_MARGIN = 2  # rounds before its client stops waiting that an operation ends
+RETRY_JITTER = 50  # ticks by which a retry's deadline may differ from that of the first try
+POLL_RETRY_FRACTION = 0.1  # of the poll interval: minimum pause after a failed poll
+VOLUME_IDLE_TIME = 600_000  # ticks: a volume idle for so long is forgotten, as volumes come and go for hours
+USAGE_EVENT_INTERVAL = 100_000  # ticks between usage events of one volume, so that they do not flood the log
+REPORT_INTERVAL = 20_000  # ticks between load requests to a node: tens of gateways ask, and it rejects excess
+ANSWER_MARGIN = 2  # rounds between an operation's deadline and the client's
 
 
-def with_reserves(settings):
-    """The settings, with nominal rates for reserves where no plan has one: else surges crowd out the rest."""
+def with_default_reserves(settings):
+    """Returns the settings, with reserves by weight if no plan has any: otherwise surges starve others."""
     if not settings.reports_load or any(plan.reserve for plan in settings.plans.values()):
         return settings
     rate = max(plan.nominal / plan.weight for plan in settings.plans.values())
@@ -36,20 +36,22 @@
 
 
 class Scheduler(SchedulerState):
-    """One gateway's decisions, from one start to the next (`interface.SchedulerEvents`)."""
+    """Makes the decisions of one gateway, from one start to the next (`interface.SchedulerEvents`)."""
 
     def __init__(self, settings, seed, now, actions):
-        super().__init__(with_reserves(settings), seed, now, actions, lambda endpoint: Node(endpoint, self))
+        super().__init__(
+            with_default_reserves(settings), seed, now, actions, lambda endpoint: Node(endpoint, self)
+        )
         self.limit = ConcurrencyLimit(0, is_global=True)
         self.poll_at = now if settings.polls_endpoints else NEVER
         self.picker, self.pacer, self.dispatcher = EndpointPicker(self), Pacer(self), Dispatcher(self)
         self.stages = (KeySerializer(self), self.picker, self.pacer, self.dispatcher)
 
     def on_endpoints(self, now, kind, endpoints):
-        """Takes in the endpoint list or updates of it."""
+        """Applies the endpoint list or an update of it."""
         if kind is UpdateKind.UNAVAILABLE:
-            # A failed poll may have ended the watch.  The pause is drawn, against all gateways at once.
-            pause = int(self.settings.poll_interval * POLL_RETRY_PART)
+            # A failed poll may have ended the subscription.  Jitter keeps gateways from polling all at once.
+            pause = int(self.settings.poll_interval * POLL_RETRY_FRACTION)
             self.poll_at = now + pause + self.random.below(pause + 1)
             return
         self.poll_at = self.poll_at if kind is UpdateKind.RECOVERED else NEVER
@@ -58,16 +60,16 @@
         self.limit.size = self.limit.size or self.even_limit()
 
     def even_limit(self):
-        """This gateway's even share of what all nodes may have in flight."""
-        sharing = 1 if self.settings.reports_load else self.settings.gateway_count
-        return MAX_IN_FLIGHT * len(self.endpoints.cells) / sharing
+        """Returns this gateway's even share of the attempts that all nodes may have in flight."""
+        sharing_gateways = 1 if self.settings.reports_load else self.settings.gateway_count
+        return MAX_IN_FLIGHT * len(self.endpoints.cells) / sharing_gateways
 
     def typical_latency(self, node):
-        """Median answer time of a node, else of all nodes, in ticks; 0 while none is known."""
+        """Returns the median latency of a node, else of all nodes, in ticks; 0 if none is known."""
         return node.limit.latencies.median() or self.limit.latencies.median()
 
     def on_operation(self, now, request):
-        """Takes an operation; it is shed at once where its route has too many in flight."""
+        """Accepts an operation, or sheds it at once if its route has too many in flight."""
         request_class = self.settings.request_classes[request.request_class]
         volume = self._volume_of(request, now)
         margin = ANSWER_MARGIN * self.settings.round_interval
@@ -80,12 +82,12 @@
         times = now, objective_at, deadline_at, deadline_at + margin
         operation = Operation(request, request_class, volume, *times, route, usage)
         self.operations[request.op_id] = operation
-        volume.held_operations += 1
+        volume.operation_count += 1
         self.dispatcher.on_arrival(now)
         if usage.in_flight > route.max_in_flight:
             self.give_up(operation, now, GiveUpReason.ROUTE_FULL)
             return
-        self.look_again_at(operation.objective_at, operation)
+        self.schedule_check(operation.objective_at, operation)
         self.advance(operation, now)
 
     def _volume_of(self, request, now):
@@ -106,36 +108,37 @@
             self.actions.report_volume(volume.event(kind))
 
     def _objective_time(self, request, request_class, volume, now):
-        # A retry is in time as its first try was: its client's deadline is the same, or it gave up just now.
-        hurried = request.time_left < request_class.deadline
+        # A retry keeps the objective of its first try.  It is recognized by the same client deadline, or by
+        # a shortened deadline right after the first try ended.
+        shortened = request.time_left < request_class.deadline
         for ended in reversed(volume.ended_operations):
             same_deadline = abs(ended.client_deadline - now - request.time_left) <= RETRY_JITTER
-            gave_up = hurried and now - ended.ended_at <= RETRY_JITTER
-            if ended.key == request.key and (request.is_retry or same_deadline or gave_up):
+            ended_lately = shortened and now - ended.ended_at <= RETRY_JITTER
+            if ended.key == request.key and (request.is_retry or same_deadline or ended_lately):
                 return ended.objective_at
-        # After a pause of this gateway's own, told by an overdue wake, what came meanwhile seems new.
-        paused = max(0, min(now - self.wake.wake_at, request_class.deadline - request.time_left))
-        return now + request_class.latency_objective - paused
+        # An overdue wake-up shows that this gateway was paused: the operation may have arrived meanwhile.
+        pause_time = max(0, min(now - self.wake.wake_at, request_class.deadline - request.time_left))
+        return now + request_class.latency_objective - pause_time
 
     def on_attempt_result(self, now, report):
-        """Takes in how an attempt came back; unknown ones are ignored."""
+        """Processes the result of an attempt; unknown attempts are ignored."""
         operation, node = self.take_result(report) or (None, None)
         if operation is None:
             return
         if report.result is AttemptResult.SUCCEEDED:
             period = self.settings.usage_period
             operation.volume.on_usage_meter(report.fleet_usage, report.remote_usage, period, now)
-            self._note_usage_report(operation.volume, report.fleet_usage > 0, now)
+            self._track_usage_reports(operation.volume, report.fleet_usage > 0, now)
         for stage in reversed(self.stages):
             stage.on_result(operation, report.attempt, node, report.result, now)
         if operation.ended:
             self.forget_or_cancel(operation, now)
-        elif not operation.in_flight:  # else the other attempt may still succeed
+        elif not operation.in_flight:  # otherwise the other attempt may still succeed
             self._retry(operation, node, now)
 
-    def _note_usage_report(self, volume, is_reported, now):
-        if is_reported != volume.usage_reported and now >= volume.usage_noted_at + USAGE_NOTE_INTERVAL:
-            volume.usage_reported, volume.usage_noted_at = is_reported, now
+    def _track_usage_reports(self, volume, is_reported, now):
+        if is_reported != volume.usage_reported and now >= volume.usage_event_at + USAGE_EVENT_INTERVAL:
+            volume.usage_reported, volume.usage_event_at = is_reported, now
             kind = VolumeEventKind.USAGE_REPORTED if is_reported else VolumeEventKind.USAGE_MISSING
             self._report_volume(volume, kind)
 
@@ -145,20 +148,20 @@
         if not in_time or not self.dispatcher.may_retry(operation, node, now):
             self.give_up(operation, now, GiveUpReason.NO_RETRY)
         elif operation.route.retry_delay:
-            self.look_again_at(operation.retry_at, operation)
+            self.schedule_check(operation.retry_at, operation)
         else:
             self.advance(operation, now)
 
     def on_load_report(self, node, result, queue, service):
-        """Takes in a node's load; None for what it does not tell, or all when it was asked in vain."""
+        """Processes a node's load report; values are None if not reported, or if the request failed."""
         if node in self.endpoints.nodes:
             self.endpoints.nodes[node].on_load_report(result, queue, service)
-            self.unblock()
+            self.recheck_blocked()
 
     def give_up(self, operation, now, reason, late=False):
-        """Gives a final answer: shed where that is true, else failed; a late client may stay away a while."""
+        """Ends an operation as shed if possible, else as failed; a late one gets the full Retry-After."""
         self.given_up[reason] += 1
-        if is_harmless(operation):
+        if can_shed(operation):
             late = late or now >= operation.objective_at
             self.actions.shed(operation.op_id, self.settings.max_retry_after if late else 0)
         else:
@@ -166,7 +169,7 @@
         self.end(operation, now)
 
     def run_round(self, now):
-        """Closes a round: sends what may go, ends what is past use, and sets the next wake."""
+        """Closes a round: sends admitted operations, ends expired ones, and sets the next wake-up."""
         if now >= self.poll_at:
             self.actions.poll_endpoints()
             self.poll_at = now + int(self.settings.poll_interval / 2)
@@ -179,23 +182,23 @@
         self.set_wake(now, self.poll_at)
 
     def _on_timer(self, operation, now):
-        waits = not (operation.ended or operation.in_flight)
-        if waits and now >= operation.objective_at:
-            self.give_up(operation, now, self._hindrance(operation, now))
-        elif waits and not operation.queued and now >= operation.retry_at:
+        is_waiting = not (operation.ended or operation.in_flight)
+        if is_waiting and now >= operation.objective_at:
+            self.give_up(operation, now, self._give_up_reason(operation, now))
+        elif is_waiting and not operation.queued and now >= operation.retry_at:
             self.advance(operation, now)
         elif not operation.ended and len(operation.in_flight) == 1 and now >= operation.hedge_at:
             self.dispatcher.hedge(operation, now)
 
-    def _hindrance(self, operation, now):
+    def _give_up_reason(self, operation, now):
         if operation.attempts_started:
             return GiveUpReason.NO_RETRY
-        waits_for_limit = operation.queued and operation.volume.limit.release_time(operation.units, now) > now
-        return GiveUpReason.RATE_LIMIT if waits_for_limit else GiveUpReason.CAPACITY
+        limited = operation.queued and operation.volume.limit.release_time(operation.units, now) > now
+        return GiveUpReason.RATE_LIMIT if limited else GiveUpReason.CAPACITY
 
     def _request_reports(self, now):
         for node in self.endpoints.nodes.values():
-            rested = now - node.report_requested_at >= REPORT_INTERVAL
-            if node.wants_report and rested and node.endpoint.state is EndpointState.READY:
+            may_request = now - node.report_requested_at >= REPORT_INTERVAL
+            if node.wants_report and may_request and node.endpoint.state is EndpointState.READY:
                 node.wants_report, node.report_requested_at = False, now
                 self.actions.request_load_report(node.endpoint.node)
--- a/rushmux/scheduling/state.py
+++ b/rushmux/scheduling/state.py
@@ -1,4 +1,4 @@
-"""What a scheduler keeps from event to event.  Nothing is decided here, and no value is tuned here."""
+"""The scheduler's state and its bookkeeping, without decisions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class EndpointTable:
-    """Nodes by name and by cell, as the endpoint list shows them."""
+    """The nodes of the endpoint list, by name and by cell."""
 
     def __init__(self, make_node: Callable):
         self.make_node = make_node
@@ -34,7 +34,7 @@
         self.listed_cells: list[Cell] = []
 
     def apply(self, kind: UpdateKind, endpoints: Iterable[Endpoint]) -> list[Cell]:
-        """Takes in the list or updates of it; the cells of the entries."""
+        """Applies the list or an update of it and returns the cells of its entries."""
         if kind is not UpdateKind.DELTA:
             for node in self.nodes.values():
                 node.endpoint = node.endpoint._replace(state=EndpointState.REMOVED)
@@ -49,7 +49,7 @@
         return changed
 
     def forget_removed(self, oldest: Ticks) -> None:
-        """Forgets removed nodes that have nothing in flight and were sent nothing after a time."""
+        """Deletes removed nodes that have nothing in flight and were sent nothing after `oldest`."""
         for name, node in list(self.nodes.items()):
             if node.endpoint.state is not EndpointState.REMOVED or node.in_flight:
                 continue
@@ -59,25 +59,25 @@
 
 
 class VolumeTable(OrderedDict):
-    """Volumes by name, the one that was asked for longest ago first."""
+    """Volumes by name, least recently requested first."""
 
     def touch(self, volume: Volume, now: Ticks) -> None:
-        """Notes a volume as the one asked for last."""
+        """Marks a volume as the most recently requested."""
         self.move_to_end(volume.name)
         volume.requested_at = now
 
     def forget_idle(self, now: Ticks, idle_time: Ticks) -> Volume | None:
-        """Forgets the volume asked for longest ago, once it is idle for a time and its limit is full."""
+        """Deletes and returns the least recently requested volume if it is idle and its limit is full."""
         volume = next(iter(self.values()))
-        # While an operation of it waits, it would have a second limit bucket when it is met again.
-        if volume.held_operations or max(volume.requested_at + idle_time, volume.limit.full_at()) > now:
+        # With unfinished operations it is kept: its next request would create a second limit bucket.
+        if volume.operation_count or max(volume.requested_at + idle_time, volume.limit.full_at()) > now:
             return None
         del self[volume.name]
         return volume
 
 
 class SchedulerState:
-    """The tables of one scheduler: operations, volumes, endpoints, and what to look at in the next round."""
+    """The state of one scheduler: operations, volumes, endpoints, and the checks due in the next round."""
 
     def __init__(
         self,
@@ -94,25 +94,25 @@
         self.endpoints = EndpointTable(make_node)
         self.changed_cells: dict[Cell, bool] = {}
         self.blocked_cells: dict[Cell, bool] = {}
-        """Cells whose nodes' limits were full."""
+        """Cells whose nodes had no free capacity when they were last checked."""
         self.timers, self.wake = TimerQueue(), WakeTimer()
         self.route_policies, self.route_usage = settings.route_policies, {}
         self.quota_shares: dict[str, float] = {}
-        """Shares of volumes' limits that this gateway was told."""
-        self.quota_grown_at: dict[str, Ticks] = {}
-        """When such a share last became larger: until then a part of it was another gateway's."""
+        """Assigned shares of volumes' limits; other volumes are split evenly."""
+        self.quota_raised_at: dict[str, Ticks] = {}
+        """When a share was last raised: until then a part of it belonged to another gateway."""
         self.stages: tuple[Stage, ...] = ()
         self.given_up: Counter[GiveUpReason] = Counter()
-        """Operations that ended without a success, by the reason, since the start."""
+        """Operations that ended without success since the start, by reason."""
 
     def on_route_policies(self, policies: Mapping[tuple[str, str], RoutePolicy]) -> None:
-        """Takes over route policies; operations taken before keep theirs, and what is used up stays so."""
+        """Replaces the route policies of new operations; usage counts are kept."""
         self.route_policies = policies
 
     def on_quota(self, now: Ticks, volume: str, share: float) -> None:
-        """Takes over a share of a volume's limit."""
+        """Sets this gateway's share of a volume's limit."""
         if share > self.quota_shares.get(volume, 0.0):
-            self.quota_grown_at[volume] = now
+            self.quota_raised_at[volume] = now
         self.quota_shares[volume] = share
         known = self.volumes.get(volume)
         if known is not None:
@@ -121,44 +121,44 @@
             self.mark_changed(cells)
 
     def on_client_gone(self, now: Ticks, op_id: str) -> None:
-        """Ends an operation that needs no answer any more."""
+        """Ends an operation whose client no longer waits."""
         operation = self.operations.get(op_id)
         if operation is not None and not operation.ended:
             self.end(operation, now)
 
     def advance(self, operation: Operation, now: Ticks) -> None:
-        """Passes an operation through the stages until one holds it."""
+        """Passes an operation through the stages until one of them keeps it."""
         for stage in self.stages:
             if not stage.accept(operation, now):
                 return
 
-    def look_again_at(self, when: Ticks, operation: Operation) -> None:
-        """Has the next round from a time on look at an operation."""
+    def schedule_check(self, when: Ticks, operation: Operation) -> None:
+        """Schedules a check of an operation in the first round at or after `when`."""
         self.timers.add(when, operation)
 
     def mark_changed(self, cells: Iterable[Cell]) -> None:
-        """Has the next round look at cells."""
+        """Schedules a check of cells in the next round."""
         self.changed_cells.update(dict.fromkeys(cells, True))
 
-    def unblock(self) -> None:
-        """Has the next round look at the cells whose nodes' limits were full."""
+    def recheck_blocked(self) -> None:
+        """Schedules a check of the blocked cells in the next round."""
         self.changed_cells.update(self.blocked_cells)
         self.blocked_cells = {}
 
     def cells_to_check(self, now: Ticks) -> Iterator[Cell]:
-        """The cells whose queues are to be looked at now."""
+        """Yields the cells whose queues are due for a check."""
         changed, self.changed_cells = self.changed_cells, {}
         for cell in self.endpoints.cells.values():
             if cell.queues and (cell in changed or cell.next_check <= now):
                 yield cell
 
     def due_operations(self, now: Ticks) -> Iterator[Operation]:
-        """The operations that are to be looked at now."""
+        """Yields the operations that are due for a check."""
         while self.timers.next_time() <= now:
             yield self.timers.pop()
 
     def set_wake(self, now: Ticks, latest: Ticks) -> None:
-        """Asks for the next round: when something is to be looked at, and no later than `latest`."""
+        """Requests the next round for the earliest scheduled check, no later than `latest`."""
         queued = [cell.next_check for cell in self.endpoints.cells.values() if cell.queues]
         next_at = now + 1 if self.changed_cells else latest
         delay = self.wake.reschedule(now, min([next_at, self.timers.next_time(), *queued]))
@@ -166,7 +166,7 @@
             self.actions.wake_after(delay)
 
     def register_attempt(self, operation: Operation, node, now: Ticks) -> None:
-        """Notes that the operation's next attempt is in flight at a node."""
+        """Records the operation's next attempt as in flight at a node."""
         attempt = operation.attempts_started
         operation.attempts_started += 1
         operation.in_flight[attempt] = node
@@ -176,7 +176,7 @@
             limit.in_flight[operation, attempt] = now, node
 
     def take_result(self, report: AttemptReport) -> tuple[Operation, Any] | None:
-        """The operation and the node of an attempt that came back; None: it is not known."""
+        """Removes an attempt that finished; returns its operation and node, or None if it is unknown."""
         operation = self.operations.get(report.op_id)
         if operation is None or report.attempt not in operation.in_flight:
             return None
@@ -186,11 +186,11 @@
         self.changed_cells[operation.cell] = True
         if operation.hedged:
             self.changed_cells[self.endpoints.cells[node.endpoint.cell]] = True
-        self.unblock()
+        self.recheck_blocked()
         return operation, node
 
     def end(self, operation: Operation, now: Ticks) -> None:
-        """Ends an operation; it is forgotten when nothing of it is in flight."""
+        """Ends an operation; it is deleted once none of its attempts is in flight."""
         operation.ended = True
         operation.route_usage.in_flight -= 1
         ended = EndedOperation(operation.key, operation.client_deadline, now, operation.objective_at)
@@ -202,10 +202,10 @@
         self.forget_or_cancel(operation, now)
 
     def forget_or_cancel(self, operation: Operation, now: Ticks) -> None:
-        """Forgets an operation that ended, or cancels what is in flight of one that was hedged."""
+        """Deletes an operation that ended, or cancels the remaining attempt if it was hedged."""
         if not operation.in_flight:
             operation.volume.settle_limit(operation, now)
-            operation.volume.held_operations -= 1
+            operation.volume.operation_count -= 1
             del self.operations[operation.op_id]
         elif operation.hedged and self.settings.allows_cancellation:
             operation.hedged = False
--- a/rushmux/scheduling/structures.py
+++ b/rushmux/scheduling/structures.py
@@ -1,4 +1,4 @@
-"""Containers that the decision logic is built on; they get all parameters from it and decide nothing."""
+"""Data structures of the scheduler; all parameters come from their callers."""
 
 from collections import deque
 from heapq import heappop, heappush
@@ -7,28 +7,28 @@
 
 from rushmux.scheduling.interface import UNLIMITED, Ticks
 
-MULTIPLIER, INCREMENT, MODULUS = 6364136223846793005, 1442695040888963407, 1 << 64  # Knuth, MMIX
+MULTIPLIER, INCREMENT, MODULUS = 6364136223846793005, 1442695040888963407, 1 << 64  # Knuth's MMIX generator
 FRACTION_STEPS = 1 << 16
 
 
 class RandomGenerator:
-    """A linear congruential generator; the high bits are used."""
+    """A linear congruential generator that returns its high bits."""
 
     def __init__(self, seed: int):
         self.state = seed & (MODULUS - 1)
 
     def below(self, bound: int) -> int:
-        """A number from 0 to `bound` - 1."""
+        """Returns an integer from 0 to `bound` - 1."""
         self.state = (self.state * MULTIPLIER + INCREMENT) % MODULUS
         return (self.state >> 33) * bound >> 31
 
     def fraction(self) -> float:
-        """A number from 0 to below 1, of 65,536 steps."""
+        """Returns a multiple of 1/65,536 in [0, 1)."""
         return self.below(FRACTION_STEPS) / FRACTION_STEPS
 
 
 class DecayingWindow:
-    """A ring of time bins whose sum weighs each bin by `decay` against the next younger one."""
+    """A ring of time bins; in their sum each bin has `decay` times the weight of the next younger one."""
 
     def __init__(self, bin_width: Ticks, bin_count: int, decay: float, now: Ticks):
         self.bin_width, self.decay = bin_width, decay
@@ -38,7 +38,7 @@
         self.bin_index = now // bin_width
 
     def advance(self, now: Ticks) -> None:
-        """Drops the bins that are too old by now."""
+        """Drops the bins that are too old."""
         current = now // self.bin_width
         for index in range(max(self.bin_index, current - len(self.bins)) + 1, current + 1):
             place = index % len(self.bins)
@@ -47,19 +47,19 @@
         self.bin_index = current
 
     def add(self, amount: float) -> None:
-        """Adds to the youngest bin; a negative amount takes back no more than that bin holds."""
+        """Adds to the youngest bin, which does not fall below zero."""
         place = self.bin_index % len(self.bins)
         amount = max(amount, -self.bins[place])
         self.bins[place] += amount
         self.decayed_sum += amount
 
     def mean_rate(self, second: Ticks) -> float:
-        """The plain sum for each `second` ticks of the whole ring."""
+        """Returns the unweighted sum per `second` ticks."""
         return sum(self.bins) * second / (self.bin_width * len(self.bins))
 
 
 class DoublingHistogram:
-    """Counts of durations in bins of doubling width, halved at `halve_at` counts so that old ones fade."""
+    """Counts of durations in bins of doubling width, halved at `halve_at` counts so that old ones decay."""
 
     def __init__(self, first_width: Ticks, bin_count: int, halve_at: int):
         self.first_width, self.halve_at = first_width, halve_at
@@ -72,7 +72,7 @@
             self.counts = [count // 2 for count in self.counts]
 
     def median(self) -> Ticks:
-        """The upper edge of the bin that holds the median; 0 while nothing is counted."""
+        """Returns the upper edge of the median's bin; 0 if there are no counts."""
         half = sum(self.counts) / 2
         for place, seen in enumerate(accumulate(self.counts)):
             if seen >= half > 0:
@@ -81,51 +81,51 @@
 
 
 class SlidingCounter:
-    """Counts events by time."""
+    """Counts events in a sliding time window."""
 
     def __init__(self) -> None:
         self.times: deque[Ticks] = deque()
 
     def add(self, now: Ticks) -> None:
-        """Counts an event; times never go back."""
+        """Counts an event; times must not decrease."""
         self.times.append(now)
 
     def count_after(self, oldest: Ticks) -> int:
-        """How many events came after a time; those up to it are forgotten."""
+        """Returns the number of events after `oldest` and drops the others."""
         while self.times and self.times[0] <= oldest:
             self.times.popleft()
         return len(self.times)
 
 
 class TimerQueue:
-    """Items by the time at which to look at them; those of one time in the order they were added."""
+    """A priority queue of items by time, first in first out for equal times."""
 
     def __init__(self) -> None:
         self.entries: list[tuple[Ticks, int, Any]] = []
         self.added = 0
 
     def add(self, when: Ticks, item: Any) -> None:
-        """Adds an item; it may be there already."""
+        """Adds an item, which may be in the queue already."""
         self.added += 1
         heappush(self.entries, (when, self.added, item))
 
     def next_time(self) -> Ticks:
-        """The earliest time, or `UNLIMITED`."""
+        """Returns the earliest time, or `UNLIMITED`."""
         return self.entries[0][0] if self.entries else UNLIMITED
 
     def pop(self) -> Any:
-        """Removes the item of the earliest time."""
+        """Removes and returns the earliest item."""
         return heappop(self.entries)[2]
 
 
 class WakeTimer:
-    """The time of the next wake that was asked for."""
+    """Tracks the next wake-up that was requested."""
 
     def __init__(self) -> None:
         self.wake_at = UNLIMITED
 
     def reschedule(self, now: Ticks, next_at: Ticks) -> Ticks | None:
-        """The delay to ask for, None where the wake that was asked for comes early enough."""
+        """Returns the delay to request, or None if the pending wake-up is early enough."""
         if self.wake_at <= now:
             self.wake_at = UNLIMITED
         if next_at >= self.wake_at:
