--- a/rushmux/settings/__init__.py
+++ b/rushmux/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: the deployment file and its checks, the fleet's part of it, the platform's settings."""
+"""The deployment file and its validation, the fleet policy in it, and the platform's settings."""
--- a/rushmux/settings/deployment.py
+++ b/rushmux/settings/deployment.py
@@ -1,7 +1,7 @@
-"""The deployment file: JSON, checked, and read into records.
+"""The deployment file: JSON that is validated and converted to records.
 
-`load` reads a file and gives a `Deployment`; `DeploymentError` lists every fault with its place.  The
-scheduler reads `SchedulerSettings` only; the rest concerns sessions and files.
+`load` reads a file and returns a `Deployment`; `DeploymentError` lists all faults with their places.  The
+scheduler uses only the `SchedulerSettings`; the rest is for sessions and files.
 """
 
 import copy
@@ -14,18 +14,18 @@
 from rushmux.routes import resolve, verifier
 from rushmux.routes.findings import Finding
 from rushmux.scheduling.interface import DedupScope, Idempotency, QosPlan, RequestClass, SchedulerSettings
-from rushmux.settings.deployment_checks import SCHEMA, Fault, check, filled
+from rushmux.settings.deployment_checks import SCHEMA, Fault, check, with_defaults
 
 MS_PER_SECOND = 1000
 
 
 class DeploymentError(Exception):
-    """A file that cannot be used.
+    """A deployment file that cannot be used.
 
     Attributes:
-        source: Where it is from, for the message.
-        faults: Each place with what is wrong there.
-        findings: Those of the verifier among them.
+        source: The origin of the file, for the message.
+        faults: Pairs of a place in the file and what is wrong there.
+        findings: The verifier's findings among the faults.
     """
 
     def __init__(self, source, faults: Sequence[Fault], findings: Sequence[Finding] = ()):
@@ -34,14 +34,14 @@
 
 
 class Folder(NamedTuple):
-    """A client folder: its plan, and the numbers of the edges that serve it (None: all)."""
+    """A client folder: its plan, and the numbers of the edges that serve it; None: all edges."""
 
     plan: str
     edges: tuple[int, ...] | None
 
 
 class SessionLimits(NamedTuple):
-    """Bounds of client sessions; times in seconds."""
+    """Limits of client sessions; times in seconds."""
 
     request_timeout: float
     max_sessions: int
@@ -53,7 +53,7 @@
 
 
 class FileSettings(NamedTuple):
-    """How files are cut: bytes of an object, extents of a block, seconds that names stay fresh."""
+    """How files are stored: bytes per object, extents per block, seconds of caching rows, bytes per unit."""
 
     object_bytes: int
     max_extents: int
@@ -62,7 +62,7 @@
 
 
 class Deployment(NamedTuple):
-    """Everything that a deployment file states."""
+    """The contents of a deployment file."""
 
     settings: SchedulerSettings
     roles: dict[str, str]
@@ -70,58 +70,61 @@
     sessions: SessionLimits
     files: FileSettings
     buffer: dict | None
-    """The file's part on the write-back buffer, times in seconds; None: off."""
+    """Settings of the write-back buffer, times in seconds; None: off."""
     drain_grace: float
     """Seconds."""
     connect_timeout: float
-    """Seconds until a connection that does not come up is given up."""
+    """Seconds."""
     connections_per_node: int
     planner_quotas: bool
-    """Shares of limits are asked of a planner."""
+    """Whether planners assign the shares of limits."""
     planner_policy: bool
-    """Classes, plans, routes and the like are decided in common by the planners."""
+    """Whether planners decide the sections of `policy.POLICY_SECTIONS` for the whole fleet."""
     bounds: route_bounds.Bounds
-    """What the routes were verified on."""
+    """The bounds that the routes were verified against."""
     routes: list[resolve.ResolvedRoute]
     raw: dict
-    """The file as it was."""
+    """The unchanged contents of the file."""
 
     def units(self, size: int) -> float:
-        """Units of an operation that moves `size` bytes."""
+        """Returns the units of an operation that transfers `size` bytes."""
         return min(self.settings.max_units, float(max(1, -(-size // self.files.unit_bytes))))
 
     def limits(self) -> dict[str, float]:
-        """Folders whose plans have a limit, and that limit in units a second."""
+        """Returns the limit, in units per second, of each folder whose plan has one."""
         limits = {name: self.settings.plans[folder.plan].limit for name, folder in self.folders.items()}
         return {name: limit for name, limit in limits.items() if limit}
 
     def edge_count(self, folder: str) -> int:
-        """Through how many edges the folder works."""
+        """Returns the number of edges that serve a folder."""
         edges = self.folders[folder].edges
         return len(edges) if edges else self.settings.gateway_count
 
 
 def build(raw: dict, source: str = "deployment", reject_findings: bool = True) -> Deployment:
-    """The deployment that `raw` states; DeploymentError with all its faults.
+    """Builds a deployment.
 
     Args:
         raw: The file's object.
-        source: Where it is from, for messages.
-        reject_findings: Whether a finding of the verifier is a fault; the lab takes such a file all the same.
+        source: The origin of the file, for messages.
+        reject_findings: Whether findings of the verifier are faults; the lab accepts files that have some.
+
+    Raises:
+        DeploymentError: The file has faults; it lists all of them.
     """
     faults, rows = check(raw)
     if rows is None:
         raise DeploymentError(source, faults)
-    stated = copy.deepcopy(raw)
-    raw = filled(SCHEMA, {"sessions": {}, "files": {}, "bounds": {}, **raw})
+    original = copy.deepcopy(raw)
+    raw = with_defaults(SCHEMA, {"sessions": {}, "files": {}, "bounds": {}, **raw})
     settings = _scheduler_settings(raw)
     routes = resolve.resolve(rows, settings.request_classes, settings.plans, settings.max_attempts)
     settings = settings._replace(route_policies=resolve.route_policies(routes))
     bounds = _bounds(settings, raw["fleet"], raw["bounds"])
     findings = verifier.verify(bounds, routes)
     if faults or (findings and reject_findings):
-        told = [(finding.place, finding.text) for finding in findings]
-        raise DeploymentError(source, faults + told, findings)
+        verifier_faults = [(finding.place, finding.text) for finding in findings]
+        raise DeploymentError(source, faults + verifier_faults, findings)
     fleet = raw["fleet"]
     raw["roles"].setdefault("write_out", raw["roles"]["write"])
     return Deployment(
@@ -138,7 +141,7 @@
         planner_policy=fleet["policy"],
         bounds=bounds,
         routes=routes,
-        raw=stated,
+        raw=original,
     )
 
 
@@ -237,15 +240,19 @@
 
 
 def load(path) -> Deployment:
-    """Reads a deployment file; DeploymentError where it cannot be read, is no JSON or has faults."""
+    """Reads a deployment file.
+
+    Raises:
+        DeploymentError: The file cannot be read, is not JSON or has faults.
+    """
     try:
         raw = json.loads(Path(path).read_text())
-    except OSError as fault:
-        raise DeploymentError(path, [("/", f"cannot be read: {fault.strerror}")]) from fault
-    except json.JSONDecodeError as fault:
-        raise DeploymentError(path, [(f"line {fault.lineno}, column {fault.colno}", fault.msg)]) from fault
-    except UnicodeDecodeError as fault:
-        raise DeploymentError(path, [("/", f"is not UTF-8: {fault.reason} at byte {fault.start}")]) from fault
+    except OSError as error:
+        raise DeploymentError(path, [("/", f"cannot be read: {error.strerror}")]) from error
+    except json.JSONDecodeError as error:
+        raise DeploymentError(path, [(f"line {error.lineno}, column {error.colno}", error.msg)]) from error
+    except UnicodeDecodeError as error:
+        raise DeploymentError(path, [("/", f"is not UTF-8: {error.reason} at byte {error.start}")]) from error
     if not isinstance(raw, dict):
         raise DeploymentError(path, [("/", "the file must hold one object")])
     return build(raw, str(path))
--- a/rushmux/settings/deployment_checks.py
+++ b/rushmux/settings/deployment_checks.py
@@ -1,6 +1,6 @@
-"""Checks of a deployment file: its schema, and what a schema cannot say.
+"""Validation of a deployment file by its schema, and by rules that a schema cannot express.
 
-A fault is a place, like `/plans/basico/limit`, and what is wrong there, in the file's own words.
+A fault is a place like `/plans/basico/limit` with what is wrong there, in the terms of the file.
 """
 
 import json
@@ -14,19 +14,19 @@
 from rushmux.routes import resolve
 
 SCHEMA = json.loads(Path(__file__).with_name("schema.json").read_text())
-ANSWER_MS = 100  # that a session keeps after an operation's deadline, to answer
+ANSWER_MS = 100  # time that a session needs to answer after an operation's deadline
 
 Fault = tuple[str, str]
 
 
-def filled(schema: dict, value: Any) -> Any:
-    """A value with the schema's defaults put in."""
+def with_defaults(schema: dict, value: Any) -> Any:
+    """Returns a value completed with the schema's defaults."""
     if not isinstance(value, dict):
         return value
     named, other = schema.get("properties", {}), schema.get("additionalProperties")
     defaults = {name: part["default"] for name, part in named.items() if "default" in part}
     for name, part in value.items():
-        defaults[name] = filled(named.get(name, other if isinstance(other, dict) else {}), part)
+        defaults[name] = with_defaults(named.get(name, other if isinstance(other, dict) else {}), part)
     return defaults
 
 
@@ -34,40 +34,40 @@
     return "/" + "/".join(str(part) for part in path)
 
 
-class Checked(NamedTuple):
-    """The faults of a file, and its rows of routes without those that have some."""
+class CheckResult(NamedTuple):
+    """The faults of a file, and its routes with faulty rows replaced by empty ones."""
 
     faults: list[Fault]
     routes: list[dict] | None
-    """None: the file breaks the schema beyond its routes, and nothing of it can be worked with."""
+    """None: the file violates the schema outside its routes, so no further checks are possible."""
 
 
-def check(raw: Any) -> Checked:
-    """Checks a file's object."""
+def check(raw: Any) -> CheckResult:
+    """Validates a file's object."""
     validator = jsonschema.Draft202012Validator(SCHEMA)
     errors = list(validator.iter_errors(raw))
     found = sorted((_place(error.absolute_path), error.message) for error in errors)
-    bad_rows = {_row_of(error) for error in errors}
+    bad_rows = {_route_index(error) for error in errors}
     if None in bad_rows:
-        return Checked(found, None)
-    routes = _without(raw.get("routes", []), bad_rows)
+        return CheckResult(found, None)
+    routes = _blank_rows(raw.get("routes", []), bad_rows)
     for check_part in (_class_faults, _role_faults, _plan_faults, _folder_faults):
         found += check_part(raw)
     unknown = resolve.faults(routes, raw["lanes"], raw["plans"])
     found += unknown
-    routes = _without(routes, {int(place.split("/")[2]) for place, _ in unknown})
+    routes = _blank_rows(routes, {int(place.split("/")[2]) for place, _ in unknown})
     for check_part in (_buffer_faults, _size_faults, _patience_faults):
         found += check_part(raw)
-    return Checked(found, routes)
+    return CheckResult(found, routes)
 
 
-def _row_of(error: jsonschema.ValidationError) -> int | None:
-    """The row of routes that an error is in; None: it is elsewhere."""
+def _route_index(error: jsonschema.ValidationError) -> int | None:
+    """Returns the index of the route that an error is in, or None if it is elsewhere."""
     path = error.absolute_path
     return path[1] if len(path) > 1 and path[0] == "routes" else None
 
 
-def _without(routes: list[dict], rows: set) -> list[dict]:
+def _blank_rows(routes: list[dict], rows: set) -> list[dict]:
     return [{} if number in rows else row for number, row in enumerate(routes)]
 
 
--- a/rushmux/settings/migration.py
+++ b/rushmux/settings/migration.py
@@ -1,19 +1,19 @@
-"""Makes the deployment file of the new shape from one of the old.
+"""Converts a deployment file of the old kind to the new kind.
 
-The new shape has nodes that tell their load to edges that ask, a usage meter for the fleet, order by key,
-plans without reserves, no hedged requests.  `migrate` gives the new file's object and what could not be
-carried over.  No I/O.
+In new deployments nodes report their load on request, the fleet has a usage meter, operations may be ordered
+by key, and plans may lack reserves and hedged requests.  `migrate` returns the new file's object and what
+could not be carried over.  No I/O.
 """
 
 import copy
 from typing import NamedTuple
 
 Leftover = tuple[str, str]
-"""A place in the file and what became of it."""
+"""A place in the file, and how its content was dropped or why it needs a review."""
 
 
 class TargetShape(NamedTuple):
-    """What the new deployment is like; None or empty: as before."""
+    """The properties of the new deployment; None or empty: unchanged."""
 
     load: str = "probe"
     meter_ms: float | None = None
@@ -25,8 +25,8 @@
 
 
 def migrate(raw: dict, shape: TargetShape) -> tuple[dict, list[Leftover]]:
-    """The counterpart of `raw`, which must be in order, and what is left of it."""
-    new, left = copy.deepcopy(raw), []
+    """Returns the new file's object for a valid `raw`, and what could not be carried over."""
+    new, leftovers = copy.deepcopy(raw), []
     fleet = new["fleet"]
     fleet["load"] = shape.load
     for name, value in (
@@ -40,58 +40,60 @@
         if name in new["lanes"]:
             new["lanes"][name]["in_order"] = True
         else:
-            left.append((f"/lanes/{name}", "there is no such lane to keep in order"))
+            leftovers.append((f"/lanes/{name}", "there is no such lane to order by key"))
     if not shape.reserves:
-        _drop_reserves(new, left)
+        _drop_reserves(new, leftovers)
     if not shape.copies:
-        _drop_hedging(new, left)
+        _drop_hedging(new, leftovers)
     if shape.gateways is not None:
-        _drop_edges(new, shape.gateways, left)
-    left.append(
+        _drop_edges(new, shape.gateways, leftovers)
+    leftovers.append(
         (
             "/fleet/cold_units",
-            f"kept at {fleet['cold_units']}, which was for the nodes of before: "
-            "state what a new one always bears",
+            f"kept at {fleet['cold_units']}, which was set for the old nodes: "
+            "set the units that a new node can take when it starts",
         )
     )
-    return new, left
+    return new, leftovers
 
 
-def _drop_reserves(new: dict, left: list[Leftover]) -> None:
+def _drop_reserves(new: dict, leftovers: list[Leftover]) -> None:
     for name, plan in new["plans"].items():
         if plan["reserve"]:
-            left.append(
+            leftovers.append(
                 (
                     f"/plans/{name}/reserve",
-                    f"{plan['reserve']} units a second are reserved no more; "
-                    f"the weight {plan['weight']} decides",
+                    f"{plan['reserve']} units per second are no longer reserved; "
+                    f"the weight {plan['weight']} applies instead",
                 )
             )
             plan["reserve"] = 0
 
 
-def _drop_hedging(new: dict, left: list[Leftover]) -> None:
+def _drop_hedging(new: dict, leftovers: list[Leftover]) -> None:
     new["fleet"]["second_copies"] = False
     kept = []
     for number, route in enumerate(new.get("routes", [])):
         if route.pop("second_copy", False):
-            left.append((f"/routes/{number}/second_copy", "dropped: the new nodes take no second copies"))
+            leftovers.append(
+                (f"/routes/{number}/second_copy", "dropped: the new nodes do not support second copies")
+            )
         if set(route) - {"lane", "plan"}:
             kept.append(route)
     if "routes" in new:
         new["routes"] = kept
 
 
-def _drop_edges(new: dict, gateways: int, left: list[Leftover]) -> None:
+def _drop_edges(new: dict, gateways: int, leftovers: list[Leftover]) -> None:
     for name, folder in new["folders"].items():
-        gone = [edge for edge in folder.get("edges", ()) if edge >= gateways]
-        if gone:
+        removed = [edge for edge in folder.get("edges", ()) if edge >= gateways]
+        if removed:
             folder["edges"] = [edge for edge in folder["edges"] if edge < gateways]
             text = "all edges serve it now" if not folder["edges"] else "the others serve it"
-            left.append(
+            leftovers.append(
                 (
                     f"/folders/{name}/edges",
-                    f"edges {', '.join(map(str, gone))} are not there any more; {text}",
+                    f"edges {', '.join(map(str, removed))} no longer exist; {text}",
                 )
             )
             if not folder["edges"]:
--- a/rushmux/settings/platform.py
+++ b/rushmux/settings/platform.py
@@ -1,7 +1,7 @@
-"""The platform's settings: the object of the simulator's first message, as the scheduler's settings.
+"""Conversion of the platform's settings to the scheduler's.
 
-The bench's adapter finds it in that message, the gateway in its configuration file.  Its keys are the
-platform's.
+The simulator sends them in its first message; the gateway reads them from its configuration file.  The keys
+are the platform's.
 """
 
 from rushmux.scheduling.interface import DedupScope, Idempotency, QosPlan, RequestClass, SchedulerSettings
@@ -14,13 +14,17 @@
     "keyed": Idempotency.KEYED,
     "unsafe": Idempotency.NOT_IDEMPOTENT,
 }
-"""By the platform's name."""
+"""By the platform's names."""
 LOAD_COLUMNS = {"backlog": 1, "recent_ms": NS_PER_MILLISECOND / TICK_NS}
-"""Columns of a load report that the scheduler reads, with the factor to its unit."""
+"""Columns of a load report that the scheduler uses, with the factors to its units."""
 
 
 def scheduler_settings_of(env: dict) -> SchedulerSettings:
-    """Returns the scheduler's settings; KeyError, TypeError or ValueError where a value is malformed."""
+    """Returns the scheduler's settings.
+
+    Raises:
+        KeyError, TypeError, ValueError: A value is missing or malformed.
+    """
     rules, limits, extra = env["Rules"], env["Limits"], env["Extra"]
     return SchedulerSettings(
         request_classes={row["Name"]: _request_class_of(row) for row in env["Classes"]},
@@ -84,7 +88,7 @@
 
 
 def load_positions(env: dict) -> list[int | None]:
-    """Returns where the values of `LOAD_COLUMNS` stand in a load report's row; None for those it lacks."""
+    """Returns the positions of `LOAD_COLUMNS` in a load report's row; None for missing columns."""
     report = env.get("Report", {})
     columns = report.get("Columns", []) if report.get("How") in ("answers", "probe") else []
     return [columns.index(name) if name in columns else None for name in LOAD_COLUMNS]
--- a/rushmux/settings/policy.py
+++ b/rushmux/settings/policy.py
@@ -1,7 +1,7 @@
-"""The part of a deployment file that the fleet decides in common.
+"""The policy: the part of a deployment file that the fleet decides in common.
 
-To text, back, and what of it may change while an edge runs.  No I/O.  The text is JSON with its keys in
-order, so that the same policy has the same checksum everywhere.
+Serializes it, merges it into a deployment, and tells which changes need a restart of an edge.  No I/O.  The
+text is JSON with sorted keys, so that equal policies have equal checksums everywhere.
 """
 
 import copy
@@ -10,14 +10,14 @@
 from rushmux.routes.reload import differences, name_first
 from rushmux.settings.deployment import Deployment, DeploymentError, build
 
-DECIDES = ("lanes", "roles", "plans", "folders", "fleet", "routes", "bounds", "buffer")
-LIVE = ("limit", "burst")  # of a plan: what the scheduler takes over by its shares of limits
+POLICY_SECTIONS = ("lanes", "roles", "plans", "folders", "fleet", "routes", "bounds", "buffer")
+LIVE_PLAN_FIELDS = ("limit", "burst")  # applied at run time through the shares of limits
 
 
 def serialize(raw: dict) -> str:
-    """The policy in a file's content."""
+    """Returns the text of the policy in a file's object."""
     return json.dumps(
-        {name: raw[name] for name in DECIDES if name in raw},
+        {name: raw[name] for name in POLICY_SECTIONS if name in raw},
         sort_keys=True,
         separators=(",", ":"),
         ensure_ascii=False,
@@ -25,7 +25,7 @@
 
 
 def limit_rows(deployment: Deployment) -> list[tuple[str, float, float]]:
-    """(folder, limit, burst) of each folder that has a limit, in the order of their names."""
+    """Returns (folder, limit, burst) of each folder that has a limit, sorted by name."""
     plans = deployment.settings.plans
     return [
         (name, plans[folder.plan].limit, plans[folder.plan].burst)
@@ -35,33 +35,37 @@
 
 
 def merge(own: Deployment, policy: str, source: str) -> Deployment:
-    """The deployment of an own file under a policy, proved; DeploymentError with all that is wrong."""
+    """Returns the deployment `own` with the sections of a policy.
+
+    Raises:
+        DeploymentError: The policy or the result has faults; it lists all of them.
+    """
     try:
         decided = json.loads(policy)
-    except ValueError as fault:
-        raise DeploymentError(source, [("/", f"is no JSON: {fault}")]) from fault
+    except ValueError as error:
+        raise DeploymentError(source, [("/", f"is no JSON: {error}")]) from error
     if not isinstance(decided, dict):
         raise DeploymentError(source, [("/", "a policy holds one object")])
-    unknown = [name for name in decided if name not in DECIDES]
+    unknown = [name for name in decided if name not in POLICY_SECTIONS]
     if unknown:
-        # A newer program's policy that is followed in part would be another policy.
+        # A newer program's policy must not be applied in part.
         raise DeploymentError(
             source, [(f"/{name}", "this program knows no such part of a policy") for name in unknown]
         )
-    raw = {name: value for name, value in own.raw.items() if name not in DECIDES}
+    raw = {name: value for name, value in own.raw.items() if name not in POLICY_SECTIONS}
     return build({**copy.deepcopy(raw), **decided}, source)
 
 
-def restart_obstacles(now: Deployment, proposed: Deployment) -> list[str]:
-    """What keeps a policy from being taken over without a start.
+def restart_obstacles(current: Deployment, proposed: Deployment) -> list[str]:
+    """Returns the differences that need a restart of an edge.
 
-    That is all that differs but routes, and limits and bursts of plans that keep one.
+    Routes can change at run time, and so can the limits and bursts of plans that keep having one.
     """
     found = []
-    for place in differences(now.raw, proposed.raw):
+    for place in differences(current.raw, proposed.raw):
         match place.split("/"):
-            case ["", "plans", plan, field] if field in LIVE:
-                values = [made.raw["plans"].get(plan, {}).get(field) for made in (now, proposed)]
+            case ["", "plans", plan, field] if field in LIVE_PLAN_FIELDS:
+                values = [made.raw["plans"].get(plan, {}).get(field) for made in (current, proposed)]
                 if all(values):
                     continue
         found.append(f"{place}: changes only with a start")
--- a/rushmux/wirehost/__init__.py
+++ b/rushmux/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's adapter: hosts schedulers on the simulator's wire."""
+"""The adapter that runs schedulers on the simulator's wire protocol."""
--- a/rushmux/wirehost/__main__.py
+++ b/rushmux/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Run the adapter on standard input and output."""
+"""Runs the adapter on standard input and output."""
 
 import sys
 
@@ -7,6 +7,6 @@
 if __name__ == "__main__":
     try:
         Host().serve(sys.stdin.buffer, sys.stdout.buffer)
-    except MalformedInputError as fault:
-        print(f"rushmux.wirehost: {fault}", file=sys.stderr)
+    except MalformedInputError as error:
+        print(f"rushmux.wirehost: {error}", file=sys.stderr)
         sys.exit(2)
--- a/rushmux/wirehost/host.py
+++ b/rushmux/wirehost/host.py
@@ -1,7 +1,7 @@
-"""The adapter between the simulator's wire and the scheduler.
+"""The adapter between the simulator's wire protocol and the scheduler.
 
-It hosts one `Scheduler` per instance, turns each event into one call of it, and each of its calls into one
-action.  It decides nothing.  The names on the wire are the simulator's.
+It hosts one `Scheduler` per instance, turns each event into a call of the scheduler, and each call by the
+scheduler into an action.  The names on the wire are the simulator's.
 """
 
 from collections.abc import Callable, Iterable
@@ -41,65 +41,65 @@
 
 
 class MalformedInputError(Exception):
-    """Input that the wire does not allow, in one plain sentence."""
+    """Input that violates the wire protocol."""
 
 
 class InstanceActions:
-    """Writes the scheduler's calls of one instance as actions (`interface.SchedulerActions`)."""
+    """Turns the calls of one instance's scheduler into actions (`interface.SchedulerActions`)."""
 
     def __init__(self, instance: str, host: "Host"):
         self.instance = instance
         self.host = host
 
-    def put(self, action: str, **fields) -> None:
-        """Adds an action to the answer."""
+    def emit(self, action: str, **fields) -> None:
+        """Adds an action to the response."""
         self.host.actions.append({action: {"Gateway": self.instance, **fields}})
 
     def start_attempt(self, op_id: str, node: str, timeout: Ticks) -> None:
         """Sends the operation's next attempt."""
-        self.put("Relay", Corr=op_id, TryFor=timeout * TICK_NS, Node=node)
+        self.emit("Relay", Corr=op_id, TryFor=timeout * TICK_NS, Node=node)
 
     def shed(self, op_id: str, retry_after: Ticks) -> None:
         """Answers that the operation did not run."""
-        self.put("Reject", Corr=op_id, RetryAfter=retry_after * TICK_NS)
+        self.emit("Reject", Corr=op_id, RetryAfter=retry_after * TICK_NS)
 
     def fail(self, op_id: str) -> None:
         """Answers that the operation failed."""
-        self.put("FinishError", Corr=op_id)
+        self.emit("FinishError", Corr=op_id)
 
     def wake_after(self, delay: Ticks) -> None:
-        """Asks for a round after a delay."""
-        self.put("NotifyMe", Span=delay * TICK_NS, Cookie="wake")
+        """Requests a round after a delay."""
+        self.emit("NotifyMe", Span=delay * TICK_NS, Cookie="wake")
 
     def poll_endpoints(self) -> None:
-        """Asks for the endpoint list and its updates."""
-        self.put("Watch", Active=True)
+        """Requests the endpoint list and its updates."""
+        self.emit("Watch", Active=True)
 
     def cancel_attempt(self, op_id: str, attempt: int) -> None:
-        """Calls an attempt off."""
-        self.put("Retract", Corr=op_id, SendNo=attempt)
+        """Cancels an attempt."""
+        self.emit("Retract", Corr=op_id, SendNo=attempt)
 
     def request_load_report(self, node: str) -> None:
         """Asks a node for its load."""
-        self.put("Probe", Node=node)
+        self.emit("Probe", Node=node)
 
     def report_volume(self, event: VolumeEvent) -> None:
-        """Nobody reads a log here."""
+        """Does nothing: the simulator has no log."""
 
 
 class SchedulerCall(NamedTuple):
-    """What an event has the host call."""
+    """The call that an event leads to."""
 
-    call: Callable
-    values: tuple
+    function: Callable
+    arguments: tuple
 
 
 class Host:
-    """All instances of one process; they share nothing but the endpoint lists that events refer to."""
+    """Hosts all instances of one process, which share only the endpoint lists that events refer to."""
 
     def __init__(self):
         self.schedulers: dict[str, Scheduler] = {}
-        self.load_places: dict[str, list] = {}  # instance -> where the values of a load report stand
+        self.load_positions: dict[str, list] = {}  # by instance: see `load_positions`
         self.endpoint_lists: dict[int, list[Endpoint]] = {}
         self.now: Ticks = 0
         self.actions: list[dict] = []
@@ -118,49 +118,53 @@
         }
 
     def serve(self, source: Iterable[bytes], sink: BinaryIO) -> None:
-        """Answers line by line; MalformedInputError names the line that cannot be read."""
+        """Responds line by line.
+
+        Raises:
+            MalformedInputError: A line could not be read; the message has its number.
+        """
         for number, line in enumerate(source, 1):
             try:
                 batch = orjson.loads(line)
-                sink.write(self.batch(batch["Clock"] // TICK_NS, batch["input"]))
-            except KeyError as fault:
-                raise MalformedInputError(f"line {number} lacks or does not know {fault}") from fault
-            except (TypeError, ValueError, AttributeError) as fault:
-                raise MalformedInputError(f"line {number} is not a batch of events: {fault}") from fault
+                sink.write(self.process_batch(batch["Clock"] // TICK_NS, batch["input"]))
+            except KeyError as error:
+                raise MalformedInputError(f"line {number}: missing key or unknown name {error}") from error
+            except (TypeError, ValueError, AttributeError) as error:
+                raise MalformedInputError(f"line {number}: not a batch of events: {error}") from error
             sink.write(b"\n")
             sink.flush()
 
-    def batch(self, now: Ticks, events: list[dict]) -> bytes:
-        """The answer to the events of one instant."""
+    def process_batch(self, now: Ticks, events: list[dict]) -> bytes:
+        """Returns the response to the events of one instant."""
         self.now, self.actions = now, []
-        met = {}
+        instances = {}
         for event in events:
             ((name, fields),) = event.items()
             handler = self.handlers[name]
             instance = fields["Gateway"] if name != "Catalog" else None
             if instance is not None:
-                met[instance] = True
+                instances[instance] = True
             if handler is not None:
-                self._guarded(instance, *handler(fields))
-        for instance in met:
+                self._call_scheduler(instance, *handler(fields))
+        for instance in instances:
             if instance in self.schedulers:
-                self._guarded(instance, self.schedulers[instance].run_round, (now,))
+                self._call_scheduler(instance, self.schedulers[instance].run_round, (now,))
         return orjson.dumps({"do": self.actions})
 
-    def _guarded(self, instance: str | None, call: Callable, values: tuple) -> None:
-        """Lets a fault of the scheduler end the day with its text, not the process."""
+    def _call_scheduler(self, instance: str | None, function: Callable, arguments: tuple) -> None:
+        """Calls the scheduler; an exception becomes an action instead of ending the process."""
         try:
-            call(*values)
-        except Exception as fault:  # whatever it is: the wire has an action for it
-            text = f"{type(fault).__name__}: {fault}"
+            function(*arguments)
+        except Exception as error:  # of any kind: the protocol has an action for it
+            text = f"{type(error).__name__}: {error}"
             self.actions.append({"BailOut": {"Gateway": instance, "Text": text}})
 
-    # Each of these reads one event's fields and returns the call with its values.
+    # Each handler reads the fields of one event and returns the call to make.
 
     def _attach(self, event: dict) -> SchedulerCall:
         instance, env = event["Gateway"], event["Env"]
         actions = InstanceActions(instance, self)
-        self.load_places[instance] = load_positions(env)
+        self.load_positions[instance] = load_positions(env)
         return SchedulerCall(self._start, (instance, scheduler_settings_of(env), event["Entropy"], actions))
 
     def _start(self, instance, settings, seed, actions) -> None:
@@ -214,13 +218,13 @@
         return SchedulerCall(self._scheduler(event).on_attempt_result, (self.now, report))
 
     def _health(self, event: dict) -> SchedulerCall:
-        row, places = event.get("Metrics") or (), self.load_places[event["Gateway"]]
+        row, positions = event.get("Metrics") or (), self.load_positions[event["Gateway"]]
         queue, service = (
-            float(row[place]) * scale if place is not None and place < len(row) else None
-            for place, scale in zip(places, LOAD_COLUMNS.values(), strict=True)
+            float(row[position]) * scale if position is not None and position < len(row) else None
+            for position, scale in zip(positions, LOAD_COLUMNS.values(), strict=True)
         )
-        values = event["Node"], RESULTS[event["Verdict"]], queue, service
-        return SchedulerCall(self._scheduler(event).on_load_report, values)
+        arguments = event["Node"], RESULTS[event["Verdict"]], queue, service
+        return SchedulerCall(self._scheduler(event).on_load_report, arguments)
 
     def _timed_out_client(self, event: dict) -> SchedulerCall:
         return SchedulerCall(self._scheduler(event).on_client_gone, (self.now, event["Corr"]))
