--- a/rushmux/settings/policy.py
+++ b/rushmux/settings/policy.py
@@ -48,7 +48,7 @@
         raise DeploymentError(source, [("/", "a policy holds one object")])
     unknown = [name for name in decided if name not in POLICY_SECTIONS]
     if unknown:
-        # A newer program's policy must not be applied in part.
+        # Applied in part, a newer program's policy would be a different one.
         raise DeploymentError(
             source, [(f"/{name}", "this program knows no such part of a policy") for name in unknown]
         )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The one helper file: plays a scenario in the notation of tests/scenarios/README.md."""
+"""Shared fixtures, among them a runner of scenarios in the notation of tests/scenarios/README.md."""
 
 import os
 import time
@@ -25,43 +25,43 @@
 MS = 10  # ticks in a millisecond
 
 
-RUN_MARK = f"RUSHMUX_TEST_RUN=a{os.getpid()}z"
-LEFT_BEHIND_TIMEOUT = 10  # seconds in which all that the tests started must have ended
+RUN_MARKER = f"RUSHMUX_TEST_RUN=a{os.getpid()}z"
+EXIT_TIMEOUT = 10  # seconds for all processes that the tests started to exit
 
 
 def processes_of_this_run():
-    """Command lines of the processes, by id, that were started by these tests and live."""
+    """Returns the command lines, by process id, of running processes that these tests started."""
     found = {}
     for folder in Path("/proc").glob("[0-9]*"):
         try:
             environment = (folder / "environ").read_bytes()
             command = (folder / "cmdline").read_bytes().replace(b"\0", b" ").decode()
-        except OSError:  # it ended meanwhile
+        except OSError:  # the process has exited
             continue
-        # The library's own helper lives as long as this process.
-        if RUN_MARK.encode() in environment and command and "resource_tracker" not in command:
+        # The resource tracker of multiprocessing runs as long as this process.
+        if RUN_MARKER.encode() in environment and command and "resource_tracker" not in command:
             found[int(folder.name)] = command
     return found
 
 
 @pytest.fixture(scope="session", autouse=True)
 def no_process_is_left_behind():
-    """Every process that a test started, by itself or through a program, has ended when the tests have."""
-    name, value = RUN_MARK.split("=")
+    """Checks at the end that all processes that the tests started, directly or indirectly, have exited."""
+    name, value = RUN_MARKER.split("=")
     os.environ[name] = value
     yield
-    until = time.monotonic() + LEFT_BEHIND_TIMEOUT
+    until = time.monotonic() + EXIT_TIMEOUT
     while (left := processes_of_this_run()) and time.monotonic() < until:
         time.sleep(0.2)
     assert left == {}
 
 
 def pytest_addoption(parser):
-    parser.addoption("--seeds", default="", help="FIRST:END, in place of the few drawn histories of CI")
+    parser.addoption("--seeds", default="", help="FIRST:END, instead of the few seeds of CI")
 
 
-# The notation's names and those of the interface, for settings; other rows are mapped where they are read.
-SETTINGS = {
+# Names of settings in the notation and in the interface; other rows are converted where they are parsed.
+SETTING_NAMES = {
     "gateways": "gateway_count",
     "tick": "round_interval",
     "list_asked": "polls_endpoints",
@@ -84,7 +84,7 @@
     "cancel": "allows_cancellation",
     "load_asked": "reports_load",
 }
-TERMS = {
+DEFAULT_TERMS = {
     "gateways": 2,
     "tick": 20,
     "list_asked": False,
@@ -107,7 +107,7 @@
     "cancel": False,
     "load_asked": False,
 }
-LANE = {
+DEFAULT_LANE = {
     "quoted": 400,
     "stop": 2000,
     "utility": 1.0,
@@ -116,7 +116,7 @@
     "window": 3000,
     "in_order": False,
 }
-ROUTE = {
+DEFAULT_ROUTE = {
     "time_out": 1 << 40,
     "executions": 1 << 40,
     "wait": 0,
@@ -125,11 +125,19 @@
     "share": 0.0,
     "free": 1e12,
 }
-PLAN = {"nominal": 4.0, "reserve": 2.0, "limit": 0.0, "burst": 0.0, "slack": 0.0, "weight": 1.0, "price": 1.0}
+DEFAULT_PLAN = {
+    "nominal": 4.0,
+    "reserve": 2.0,
+    "limit": 0.0,
+    "burst": 0.0,
+    "slack": 0.0,
+    "weight": 1.0,
+    "price": 1.0,
+}
 
 
-def valued(words, defaults):
-    """`name=value` words over the defaults, each as the kind of thing its default is."""
+def parse_fields(words, defaults):
+    """Parses `name=value` words to the types of their defaults, and fills in missing fields."""
     fields = dict(defaults)
     for word in words:
         name, value = word.split("=")
@@ -139,56 +147,56 @@
 
 
 class ScenarioRunner:
-    """Scheduler actions that write down what a gateway does, and the verbs of the notation."""
+    """Runs a scenario: its methods are the steps of the notation, and it records the scheduler's actions."""
 
     def __init__(self):
-        self.now, self.scheduler, self.done, self.wakes, self.time_outs = 0, None, [], [], {}
-        self.terms, self.lanes, self.plans, self.executions = dict(TERMS), {}, {}, {}
-        self.routes, self.advice, self.events = {}, {}, []
+        self.now, self.scheduler, self.actions, self.wake_times, self.timeouts = 0, None, [], [], {}
+        self.terms, self.lanes, self.plans, self.attempts = dict(DEFAULT_TERMS), {}, {}, {}
+        self.routes, self.retry_after, self.volume_events = {}, {}, []
         self.lane("read")
         self.plan("base")
 
     def start_attempt(self, op_id, node, timeout):
         assert timeout >= 0
-        self.executions[op_id] = self.executions.get(op_id, -1) + 1
-        self.time_outs[op_id] = timeout
-        self.done.append(f"run {op_id} {node}")
+        self.attempts[op_id] = self.attempts.get(op_id, -1) + 1
+        self.timeouts[op_id] = timeout
+        self.actions.append(f"run {op_id} {node}")
 
     def shed(self, op_id, retry_after):
-        self.advice[op_id] = retry_after
-        self.done.append(f"shed {op_id}")
+        self.retry_after[op_id] = retry_after
+        self.actions.append(f"shed {op_id}")
 
     def fail(self, op_id):
-        self.done.append(f"end {op_id}")
+        self.actions.append(f"end {op_id}")
 
     def wake_after(self, delay):
         assert delay > 0
-        self.wakes.append(self.now + delay)
+        self.wake_times.append(self.now + delay)
 
     def poll_endpoints(self):
-        self.done.append("watch")
+        self.actions.append("watch")
 
     def cancel_attempt(self, op_id, attempt):
-        self.done.append(f"withdraw {op_id} {attempt}")
+        self.actions.append(f"withdraw {op_id} {attempt}")
 
     def request_load_report(self, node):
-        self.done.append(f"probe {node}")
+        self.actions.append(f"probe {node}")
 
     def report_volume(self, event):
-        self.events.append(event)
+        self.volume_events.append(event)
 
     def told(self, node, result, *words):
-        """A node's load, or how asking for it ended: queue, and service in ms."""
-        row = valued(words, {"queue": -1.0, "service": -1.0})
+        """Reports a node's load, or the outcome of the request for it: queue, and service in ms."""
+        row = parse_fields(words, {"queue": -1.0, "service": -1.0})
         row["service"] *= MS
         queue, service = (value if value >= 0 else None for value in row.values())
         self.scheduler.on_load_report(node, AttemptResult(result), queue, service)
 
     def terms_(self, *words):
-        self.terms = valued(words, self.terms)
+        self.terms = parse_fields(words, self.terms)
 
     def lane(self, name, *words):
-        row = valued(words, LANE)
+        row = parse_fields(words, DEFAULT_LANE)
         self.lanes[name] = RequestClass(
             name,
             row["quoted"] * MS,
@@ -201,11 +209,11 @@
         )
 
     def plan(self, name, *words):
-        self.plans[name] = QosPlan(name, **valued(words, PLAN))
+        self.plans[name] = QosPlan(name, **parse_fields(words, DEFAULT_PLAN))
 
     def route(self, lane, plan, *words):
-        """A route; `copies=` none stands for no copies.  A running gateway is told at once."""
-        row = valued([word for word in words if word != "copies=none"], ROUTE)
+        """Sets a route policy, at once for a running gateway; `copies=none` turns hedging off."""
+        row = parse_fields([word for word in words if word != "copies=none"], DEFAULT_ROUTE)
         copy_after = None if "copies=none" in words else row["copy_after"] * MS
         self.routes[lane, plan] = RoutePolicy(
             row["time_out"] * MS,
@@ -220,15 +228,15 @@
             self.scheduler.on_route_policies(dict(self.routes))
 
     def start(self):
-        stated = {SETTINGS[name]: value for name, value in self.terms.items()}
+        stated = {SETTING_NAMES[name]: value for name, value in self.terms.items()}
         settings = SchedulerSettings(
             request_classes=self.lanes, plans=self.plans, route_policies=dict(self.routes), **stated
         )
-        self.wakes, self.executions = [], {}
+        self.wake_times, self.attempts = [], {}
         self.scheduler = Scheduler(settings, 7, self.now, self)
 
     def list(self, kind, *nodes):
-        """Each node as name/cell/condition/online-since in ms/zone, the last three left out at will."""
+        """Delivers nodes as name/cell/state/online-since in ms/zone; the last three are optional."""
         entries = []
         for text in nodes:
             name, cell, condition, since, zone = [*text.split("/"), "", "", ""][:5]
@@ -237,7 +245,7 @@
         self.scheduler.on_endpoints(self.now, UpdateKind(kind), entries)
 
     def take(self, op_ids, *words):
-        row = valued(
+        row = parse_fields(
             words,
             {
                 "lane": "read",
@@ -268,24 +276,24 @@
             self.scheduler.on_operation(self.now, request)
 
     def back(self, op_ids, result, *words):
-        row = valued(words, {"others": 0.0, "use": 0})
+        row = parse_fields(words, {"others": 0.0, "use": 0})
         self.scheduler.run_round(self.now)
         for op_id in op_ids.split(","):
             op_id, _, number = op_id.partition("/")
-            number = int(number) if number else self.executions[op_id]
+            number = int(number) if number else self.attempts[op_id]
             report = AttemptReport(
                 op_id, number, AttemptResult(result), result == "succeeded", row["use"], row["others"]
             )
             self.scheduler.on_attempt_result(self.now, report)
 
     def pause(self, milliseconds):
-        self.now, self.wakes = self.now + int(milliseconds) * MS, []
+        self.now, self.wake_times = self.now + int(milliseconds) * MS, []
 
     def timeout(self, op_id, milliseconds):
-        assert self.time_outs[op_id] == int(milliseconds) * MS, f"{op_id}: {self.time_outs[op_id]}"
+        assert self.timeouts[op_id] == int(milliseconds) * MS, f"{op_id}: {self.timeouts[op_id]}"
 
     def comeback(self, op_id, milliseconds):
-        assert self.advice[op_id] == int(milliseconds) * MS, f"{op_id}: {self.advice[op_id]}"
+        assert self.retry_after[op_id] == int(milliseconds) * MS, f"{op_id}: {self.retry_after[op_id]}"
 
     def play(self, text):
         for number, line in enumerate(text.splitlines(), 1):
@@ -296,34 +304,34 @@
                 self.until(int(words[1]) * MS)
             elif words[0] == "expect":
                 self.scheduler.run_round(self.now)
-                wanted = [part.strip() for part in " ".join(words[1:]).split(";")]
-                wanted = [] if wanted == ["nothing"] else wanted
-                assert self.done == wanted, f"line {number}: {line}: {self.done}"
-                self.done = []
+                expected = [part.strip() for part in " ".join(words[1:]).split(";")]
+                expected = [] if expected == ["nothing"] else expected
+                assert self.actions == expected, f"line {number}: {line}: {self.actions}"
+                self.actions = []
             elif words[0] == "count":
                 self.scheduler.run_round(self.now)
-                found = sum(deed.startswith(" ".join(words[2:])) for deed in self.done)
-                assert found == int(words[1]), f"line {number}: {line}: {self.done}"
-                self.done = []
+                found = sum(action.startswith(" ".join(words[2:])) for action in self.actions)
+                assert found == int(words[1]), f"line {number}: {line}: {self.actions}"
+                self.actions = []
             else:
                 getattr(self, "terms_" if words[0] == "terms" else words[0])(*words[1:])
 
     def until(self, when):
-        """Lets time pass, with the wakes that the gateway asked for."""
+        """Advances the time, with a round at each wake-up that the scheduler requested."""
         if self.scheduler:
             self.scheduler.run_round(self.now)
-        while self.wakes and min(self.wakes) <= when:
-            self.now = min(self.wakes)
-            self.wakes = [wake for wake in self.wakes if wake > self.now]
+        while self.wake_times and min(self.wake_times) <= when:
+            self.now = min(self.wake_times)
+            self.wake_times = [wake for wake in self.wake_times if wake > self.now]
             self.scheduler.run_round(self.now)
         self.now = when
 
 
 @pytest.fixture
-def player():
+def scenario():
     return ScenarioRunner()
 
 
 @pytest.fixture
-def another_player():
+def second_scenario():
     return ScenarioRunner()
--- a/tests/scheduling/test_limit_bucket.py
+++ b/tests/scheduling/test_limit_bucket.py
@@ -1,7 +1,7 @@
-"""The shares of a limit over several gateways never come to more than the limit's one bucket.
+"""The shares of a limit over several gateways never hold more than one bucket of the whole limit.
 
-Drawn histories: units are let go, arrive at any later moment or never, and their fate is learnt later still;
-gateways restart and forget; shares move.
+In random histories units are sent, arrive at any later time or never, and their outcome is learned later
+still; gateways restart and lose their state.
 """
 
 import random
@@ -18,7 +18,7 @@
 
 
 class FleetBucket:
-    """The volume's one bucket, full at the start."""
+    """The bucket of the whole volume, full at the start."""
 
     def __init__(self):
         self.level, self.updated_at, self.lowest = PLAN.burst, 0, PLAN.burst
@@ -30,7 +30,7 @@
 
 
 class Gateway:
-    """Lets drawn operations go as its bucket has them."""
+    """Sends random operations as its bucket admits them."""
 
     def __init__(self, share, now):
         self.share = share
@@ -42,11 +42,11 @@
     def step(self, rng, now, fleet):
         self.bucket.advance(now)
         for operation in list(self.in_flight):
-            fate = rng.random()
-            if fate < 0.2 and not operation["arrived"]:
+            outcome = rng.random()
+            if outcome < 0.2 and not operation["arrived"]:
                 operation["arrived"] = True
                 fleet.take(operation["units"], now)
-            elif fate < 0.4 and (operation["arrived"] or fate > 0.35):
+            elif outcome < 0.4 and (operation["arrived"] or outcome > 0.35):
                 self.bucket.settle(operation["units"], now)
                 self.in_flight.remove(operation)
         units = rng.choice((1, 2, 8))
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_all_gateways_together_keep_the_limit_in_drawn_histories(seed):
+def test_all_gateways_together_keep_the_limit_in_random_histories(seed):
     rng, fleet = random.Random(seed), FleetBucket()
     count = rng.randint(1, 4)
     gateways = [Gateway(1 / count, 0) for _ in range(count)]
@@ -70,10 +70,10 @@
                 gateway.step(rng, now, fleet)
         assert sum(each.bucket.level + each.bucket.reserved for each in gateways) <= PLAN.burst + 1e-6
     assert fleet.lowest >= -1e-6
-    assert fleet.lowest < PLAN.burst / 2  # it was used
+    assert fleet.lowest < PLAN.burst / 2  # the limit was used
 
 
-def test_a_smaller_share_cuts_it_and_counts_what_is_reserved():
+def test_a_smaller_share_cuts_the_level_and_counts_reserved_units():
     bucket = LimitBucket(PLAN, 0.5, 0, 10 * SECOND)
     bucket.reserve(8)
     assert (bucket.level, bucket.reserved) == (16, 8)
@@ -88,7 +88,7 @@
     assert bucket.level == pytest.approx(0.5)
 
 
-def test_a_larger_share_fills_from_now_on():
+def test_a_larger_share_fills_from_the_change_on():
     bucket = LimitBucket(PLAN, 0.25, 0, 10 * SECOND)
     bucket.set_share(0.5, 10 * SECOND)
     assert bucket.level == 12
@@ -96,7 +96,7 @@
     assert bucket.level == pytest.approx(17)
 
 
-def test_times_at_which_it_has_units_or_is_full():
+def test_times_at_which_units_are_available_or_the_bucket_is_full():
     bucket = LimitBucket(PLAN, 0.5, 0, 0)
     assert bucket.release_time(1, 0) == 2_001 and bucket.full_at() == 48_001
     bucket.advance(48_001)
@@ -106,13 +106,13 @@
     assert LimitBucket(PLAN, 0.0, 0, SECOND).release_time(1, SECOND) == NEVER
 
 
-def test_a_plan_without_a_limit_lets_everything_go():
+def test_a_plan_without_a_limit_admits_everything():
     bucket = LimitBucket(PLAN._replace(limit=0.0, burst=0.0), 0.5, 0, 0)
     bucket.reserve(1_000)
     assert bucket.release_time(1_000, 5) == 5 and bucket.full_at() == 0
 
 
-def test_it_is_full_again_after_units_whose_sums_are_rounded():
+def test_rounding_errors_do_not_keep_the_bucket_from_being_full():
     bucket = LimitBucket(PLAN, 0.5, 0, 100 * SECOND)
     for units in (0.1, 0.2, 0.3):
         bucket.reserve(units)
@@ -122,5 +122,5 @@
     assert bucket.full_at() < 101 * SECOND
 
 
-def test_a_share_of_nothing_is_full():
+def test_an_empty_share_counts_as_full():
     assert LimitBucket(PLAN, 0.0, 0, SECOND).full_at() == SECOND
--- a/tests/settings/test_deployment.py
+++ b/tests/settings/test_deployment.py
@@ -1,4 +1,4 @@
-"""Files of a deployment: what is wrong is told, all of it, with its place."""
+"""Deployment files: all faults are reported, with their places."""
 
 import copy
 import json
@@ -41,14 +41,16 @@
     return raw
 
 
-@pytest.mark.parametrize("place, value, told, words", WRONG, ids=lambda part: str(part)[:40])
-def test_what_is_wrong_is_told_with_its_place(place, value, told, words):
+@pytest.mark.parametrize("place, value, place_of_fault, message", WRONG, ids=lambda part: str(part)[:40])
+def test_a_fault_is_reported_with_its_place(place, value, place_of_fault, message):
     with pytest.raises(DeploymentError) as fault:
         build(changed(place, value))
-    assert any(where == told and words in text for where, text in fault.value.faults), fault.value.faults
+    assert any(where == place_of_fault and message in text for where, text in fault.value.faults), (
+        fault.value.faults
+    )
 
 
-def test_all_faults_are_told_at_once():
+def test_all_faults_are_reported_at_once():
     raw = changed(("roles", "read"), "leer")
     raw["folders"]["limon"]["plan"] = raw["folders"]["golfo"]["plan"] = "oro"
     with pytest.raises(DeploymentError) as fault:
@@ -57,18 +59,18 @@
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    "text, message",
     [("{", "line 1, column 2"), ("[]", "one object"), (b"\xff", "UTF-8"), (None, "cannot be read")],
 )
-def test_files_that_are_none(tmp_path, text, words):
+def test_an_unreadable_or_malformed_file_is_rejected(tmp_path, text, message):
     path = tmp_path / "d.json"
     if text is not None:
         path.write_bytes(text.encode() if isinstance(text, str) else text)
-    with pytest.raises(DeploymentError, match=words):
+    with pytest.raises(DeploymentError, match=message):
         load(path)
 
 
-def test_times_become_ticks_and_defaults_are_filled_in():
+def test_times_become_ticks_and_defaults_are_applied():
     made = build(EXAMPLE)
     assert (
         made.settings.request_classes["lectura"].latency_objective == 4_000
--- a/tests/settings/test_migration.py
+++ b/tests/settings/test_migration.py
@@ -1,4 +1,4 @@
-"""The move to the new shape: what is carried over, what is told as left, and that a trial changes nothing."""
+"""The migration of a deployment file: what is carried over and what is reported, and dry runs."""
 
 import copy
 import json
@@ -16,18 +16,20 @@
 EXAMPLE = json.loads(FILE.read_text())
 
 
-def move(*words):
+def run_move(*words):
     return CliRunner().invoke(main, ["move", *map(str, words)])
 
 
-def test_an_old_file_asks_no_node():
+def test_an_old_file_does_not_use_load_reports():
     assert build(EXAMPLE).settings.reports_load is False
 
 
-def test_the_new_file_states_the_new_shape_and_is_in_order(tmp_path):
+def test_the_new_file_has_the_new_settings_and_is_valid(tmp_path):
     to = tmp_path / "new.json"
-    done = move(FILE, "--to", to, "--meter-ms", 1000, "--in-order", "archivo-nuevo", "--order-rest-ms", 300)
-    assert done.exit_code == 0, done.output
+    result = run_move(
+        FILE, "--to", to, "--meter-ms", 1000, "--in-order", "archivo-nuevo", "--order-rest-ms", 300
+    )
+    assert result.exit_code == 0, result.output
     settings = build(json.loads(to.read_text())).settings
     assert settings.reports_load and settings.usage_period == 10_000 and settings.key_cooldown == 3_000
     assert (
@@ -35,10 +37,10 @@
     )
 
 
-def test_a_trial_writes_nothing(tmp_path):
+def test_a_dry_run_writes_nothing(tmp_path):
     to = tmp_path / "new.json"
-    done = move(FILE, "--to", to, "--dry-run", "--no-reserves")
-    assert done.exit_code == 0 and "/plans/prioritario/reserve: 40" in done.output
+    result = run_move(FILE, "--to", to, "--dry-run", "--no-reserves")
+    assert result.exit_code == 0 and "/plans/prioritario/reserve: 40" in result.output
     assert list(tmp_path.iterdir()) == []
 
 
@@ -63,54 +65,56 @@
         {"plan": "basico", "held": 2000},
     ]
     assert not build(new).settings.allows_hedging
-    assert raw["plans"]["basico"]["reserve"] == 10  # the old one is left as it was
+    assert raw["plans"]["basico"]["reserve"] == 10  # the old file is unchanged
 
 
 @pytest.mark.parametrize(
-    "words, told",
+    "words, message",
     [
-        (("--gateways", 40), "burst"),  # the new file would be refused
+        (("--gateways", 40), "burst"),  # the new file would be invalid
         (("--meter-ms", -1), "meter_span_ms"),
     ],
 )
-def test_a_file_that_would_be_refused_is_not_written(tmp_path, words, told):
+def test_an_invalid_new_file_is_not_written(tmp_path, words, message):
     to = tmp_path / "new.json"
-    done = move(FILE, "--to", to, *words)
-    assert done.exit_code == 1 and told in done.output and not to.exists()
+    result = run_move(FILE, "--to", to, *words)
+    assert result.exit_code == 1 and message in result.output and not to.exists()
 
 
-def written_state(path):
-    """What any write or replacement of a file changes, to the nanosecond; reading it changes none of it."""
+def file_state(path):
+    """Returns the attributes that change when a file is written or replaced, but not when it is read."""
     state = path.stat()
     return state.st_ino, state.st_mode, state.st_size, state.st_mtime_ns, state.st_ctime_ns
 
 
 def test_a_second_run_changes_nothing(tmp_path):
     one, two = tmp_path / "one.json", tmp_path / "two.json"
-    assert move(FILE, "--to", one).exit_code == 0
-    before = written_state(one)
-    again = move(FILE, "--to", one)
-    assert again.exit_code == 0 and "already" in again.output and written_state(one) == before
-    assert move(one, "--to", two).exit_code == 0 and two.read_bytes() == one.read_bytes()
+    assert run_move(FILE, "--to", one).exit_code == 0
+    before = file_state(one)
+    again = run_move(FILE, "--to", one)
+    assert again.exit_code == 0 and "already" in again.output and file_state(one) == before
+    assert run_move(one, "--to", two).exit_code == 0 and two.read_bytes() == one.read_bytes()
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, message",
     [(None, "cannot be read"), ("{", "line 1"), ('{"version": 9}', "version"), ("[]", "one object")],
 )
-def test_an_old_file_that_is_none(tmp_path, text, told):
+def test_an_unreadable_or_malformed_old_file_is_rejected(tmp_path, text, message):
     old, to = tmp_path / "old.json", tmp_path / "new.json"
     if text is not None:
         old.write_text(text)
-    done = move(old, "--to", to)
-    assert done.exit_code == 1 and told in done.output and str(old) in done.output and not to.exists()
+    result = run_move(old, "--to", to)
+    assert (
+        result.exit_code == 1 and message in result.output and str(old) in result.output and not to.exists()
+    )
 
 
-def test_a_file_that_is_there_is_kept(tmp_path):
+def test_an_existing_file_is_kept_without_force(tmp_path):
     to = tmp_path / "new.json"
     to.write_text("mine")
-    assert move(FILE, "--to", to).exit_code == 1 and to.read_text() == "mine"
-    assert move(FILE, "--to", to, "--force").exit_code == 0 and json.loads(to.read_text())
+    assert run_move(FILE, "--to", to).exit_code == 1 and to.read_text() == "mine"
+    assert run_move(FILE, "--to", to, "--force").exit_code == 0 and json.loads(to.read_text())
 
 
 def test_a_write_that_fails_leaves_the_old_file_and_nothing_half_written(tmp_path, monkeypatch):
@@ -121,6 +125,6 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr("os.fsync", full)
-    done = move(FILE, "--to", to, "--force")
-    assert done.exit_code == 1 and "No space left" in done.output
+    result = run_move(FILE, "--to", to, "--force")
+    assert result.exit_code == 1 and "No space left" in result.output
     assert to.read_text() == "mine" and list(tmp_path.iterdir()) == [to]
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -6,5 +6,5 @@
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
-def test_scenario(path, player):
-    player.play(path.read_text())
+def test_scenario(path, scenario):
+    scenario.play(path.read_text())
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -1,4 +1,4 @@
-"""Every wire, byte for byte as earlier versions spoke it: recorded bytes in, recorded bytes out."""
+"""All wire protocols against recordings of earlier versions: recorded bytes in, recorded bytes out."""
 
 import io
 import json
@@ -48,7 +48,7 @@
     "install": raft.InstallSnapshot("a/1", "b/2", 7, raft.Snapshot(30, 5, ("a/1", "b/2"), b"state"), 13),
     "appended": raft.AppendEntriesResponse("b/2", "a/1", 7, False, 38, 12),
 }
-MILLISECONDS = 250  # that the recorded commands tell a node
+MILLISECONDS = 250  # the timeout in the recorded commands to nodes
 
 
 def decoded(data):
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(NODEWIRE))
-def test_a_frame_is_read_and_made_again(name):
+def test_a_frame_is_decoded_and_encoded_to_the_same_bytes(name):
     assert frame(decoded(NODEWIRE[name])) == NODEWIRE[name]
 
 
@@ -67,33 +67,33 @@
 
 
 @pytest.mark.parametrize("kind", sorted(RAFT))
-def test_a_raft_message_goes_over_the_wire_as_before(kind):
+def test_a_raft_message_has_the_recorded_encoding(kind):
     data = NODEWIRE[f"raft-{kind}"]
     assert frame(messages.Message(word=raft_codec.encode(RAFT[kind]))) == data
     assert raft_codec.decode(decoded(data).word) == RAFT[kind]
 
 
 @pytest.mark.parametrize("name, known", [("whole", ()), ("known", (2, 3))])
-def test_a_policy_grant_goes_over_the_wire_as_before(name, known):
+def test_a_policy_grant_has_the_recorded_encoding(name, known):
     made = messages.Message(policy_grant=raft_codec.encode_grant(GRANT, known))
     assert frame(made) == NODEWIRE[f"policy-grant-{name}"]
 
 
-def test_a_members_policy_ask_goes_over_the_wire_as_before():
+def test_a_lease_request_has_the_recorded_encoding():
     holder = policy.PolicyMember("edge0", FORCE, STAGED, lambda proposed: None, lambda force, staged: None)
     ask = encode_lease_request(holder.lease_request(3.0))
     assert frame(messages.Message(policy_ask=ask)) == NODEWIRE["policy-ask"]
 
 
 def fields_of(values):
-    """A packet's fields out of the recording: tuples and bytes as they were."""
+    """Converts a recorded packet's fields back to tuples and bytes."""
     if isinstance(values, list):
         return tuple(map(fields_of, values))
     return bytes.fromhex(values["hex"]) if isinstance(values, dict) else values
 
 
 @pytest.mark.parametrize("row", SFTP, ids=lambda row: row["packet"])
-def test_an_sftp_packet_is_read_and_made_again(row):
+def test_an_sftp_packet_is_decoded_and_encoded_to_the_same_bytes(row):
     data = bytes.fromhex(row["bytes"])
     (body,) = sftp.PacketSplitter().feed(data)
     packet = sftp.decode(body)
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("row", RESP2["replies"])
-def test_a_nodes_reply_means_the_same(row):
+def test_a_nodes_reply_is_interpreted_as_recorded(row):
     reader = ReplyReader()
     reader.receive_data(bytes.fromhex(row["node"]))
     kind, value = reader.next_reply()
--- a/tests/wirehost/test_loads.py
+++ b/tests/wirehost/test_loads.py
@@ -1,4 +1,4 @@
-"""The adapter's way for loads: what a probe tells reaches the module, and what makes no sense is told."""
+"""Load reports through the adapter: they reach the scheduler, and malformed ones are rejected."""
 
 import io
 
@@ -41,9 +41,9 @@
     }
 
 
-def played(columns, health, may_probe=True):
-    """One read that answers late, and how the probe that follows ends; the host and the actions by round."""
-    called = {
+def run_probe(columns, health, may_probe=True):
+    """Plays a late read and the result of the probe after it; returns the host and the actions by round."""
+    call = {
         "Gateway": "g",
         "Corr": "a",
         "Service": "r",
@@ -76,7 +76,7 @@
                     }
                 },
                 {"DirectoryUpdate": {"Gateway": "g", "SetId": 0, "Revision": 1, "Kind": "restored"}},
-                {"Call": called},
+                {"Call": call},
             ],
         ),
         (250, [{"Settled": settled}]),
@@ -89,21 +89,21 @@
     ]
 
 
-def test_a_late_answer_has_the_node_asked_and_what_it_tells_reaches_the_module():
-    host, done = played(
+def test_a_late_answer_triggers_a_probe_whose_report_reaches_the_scheduler():
+    host, actions = run_probe(
         ["utilization", "recent_ms", "backlog"], {"Verdict": "completed", "Metrics": [0.5, 47.5, 0]}
     )
-    assert "Probe" in done[1] and host.schedulers["g"].endpoints.nodes["n"].expected_service == 475
+    assert "Probe" in actions[1] and host.schedulers["g"].endpoints.nodes["n"].expected_service == 475
 
 
 @pytest.mark.parametrize(
     "columns, may_probe", [([], True), (["utilization"], True), (["backlog"], True), (["recent_ms"], False)]
 )
-def test_no_node_is_asked_where_nothing_of_use_is_told_or_none_may_be(columns, may_probe):
-    assert "Probe" not in played(columns, {"Verdict": "completed"}, may_probe)[1][1]
+def test_no_node_is_probed_without_a_reported_service_time_or_permission(columns, may_probe):
+    assert "Probe" not in run_probe(columns, {"Verdict": "completed"}, may_probe)[1][1]
 
 
 @pytest.mark.parametrize("metrics", [["much"], [None], 7])
-def test_a_load_that_makes_no_sense_is_told_with_its_line(metrics):
+def test_a_malformed_load_report_is_rejected_with_its_line_number(metrics):
     with pytest.raises(MalformedInputError, match="line 3"):
-        played(["recent_ms"], {"Verdict": "completed", "Metrics": metrics})
+        run_probe(["recent_ms"], {"Verdict": "completed", "Metrics": metrics})
