--- a/rushmux/scheduling/driver.py
+++ b/rushmux/scheduling/driver.py
@@ -257,7 +257,7 @@
     def _deliver_reply(self, now: Ticks, op_id: str, number: int, reply: AttemptReply) -> None:
         operation = self.operations.get(op_id)
         if operation is None or number not in operation.attempts:
-            return  # the attempt has timed out before
+            return  # its outcome was delivered before, for example a timeout
         attempt = operation.attempts.pop(number)
         result = self._close_attempt(attempt, reply.result)
         if result not in NEVER_RAN and result is not AttemptResult.SUCCEEDED:
--- a/rushmux/scheduling/endpoint_picker.py
+++ b/rushmux/scheduling/endpoint_picker.py
@@ -5,7 +5,7 @@
 
 MAX_DRAWS = 10  # draws for two usable cells: enough when half of the nodes are suspended
 CHOICES = 2  # usable cells of which the less loaded one is taken ("power of two choices")
-RESERVED_FACTOR = 3  # limit for operations due by a reserve, a guarantee, relative to the limit for slack
+RESERVED_FACTOR = 3  # factor of the limits for operations due by a reserve, since reserves are guaranteed
 
 
 def least_loaded(cell):
--- a/rushmux/scheduling/limit_bucket.py
+++ b/rushmux/scheduling/limit_bucket.py
@@ -32,7 +32,7 @@
         self.level = min(self.level, self.capacity - self.reserved)
 
     def split_further(self, share, now):
-        """Shrinks the share in favor of gateways that start with shares of their own, and debits those."""
+        """Shrinks the share as more gateways hold shares, and debits the capacity that they start with."""
         lost_capacity = self.capacity - self.plan.burst * share
         self.advance(now)
         self.level -= lost_capacity
--- a/rushmux/scheduling/volume.py
+++ b/rushmux/scheduling/volume.py
@@ -31,7 +31,7 @@
         filling_since = scheduler.quota_raised_at.get(self.name, scheduler.started_at)
         self.limit = LimitBucket(plan, share, filling_since, now)
         self.usage = DecayingWindow(BIN_WIDTH, BIN_COUNT, DECAY, now)
-        self.remote_usage_rate = 0.0  # units a second
+        self.remote_usage_rate = 0.0  # units per second
         self.operation_count = 0  # operations of the volume in the scheduler's table
         self.usage_reported, self.usage_event_at = False, -NEVER  # whether answers contain the fleet's usage
         self.ended_operations = deque(maxlen=REMEMBERED_OPERATIONS)
--- a/rushmux/settings/deployment.py
+++ b/rushmux/settings/deployment.py
@@ -41,7 +41,7 @@
 
 
 class SessionLimits(NamedTuple):
-    """Limits of client sessions; times in seconds."""
+    """Limits of client sessions, per session except for `max_sessions`; times in seconds."""
 
     request_timeout: float
     max_sessions: int
@@ -53,7 +53,7 @@
 
 
 class FileSettings(NamedTuple):
-    """How files are stored: bytes per object, extents per block, seconds of caching rows, bytes per unit."""
+    """How files are stored and cached; `max_extents` is per block, `max_row_age` in seconds."""
 
     object_bytes: int
     max_extents: int
--- a/rushmux/wirehost/host.py
+++ b/rushmux/wirehost/host.py
@@ -99,7 +99,7 @@
 
     def __init__(self):
         self.schedulers: dict[str, Scheduler] = {}
-        self.load_positions: dict[str, list] = {}  # by instance: see `load_positions`
+        self.load_positions: dict[str, list] = {}  # instance -> columns of its load reports
         self.endpoint_lists: dict[int, list[Endpoint]] = {}
         self.now: Ticks = 0
         self.actions: list[dict] = []
