--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -62,7 +62,7 @@
         self.clients.append(await FakeClient().open(self.port))
         return self.clients[-1]
 
-    async def client_with(self, *arguments):
+    async def client_that_sends(self, *arguments):
         """A client that writes a command at once; nobody need have accepted it."""
         client = await self.client()
         client.send(*arguments)
@@ -107,13 +107,13 @@
         self.file, self.node, self.discovery = folder / "config.json", FakeNode(), FakeDiscovery()
         self.port, self.process, self.options = free_port(), None, {}
 
-    def write(self, discovery=None):
+    def write_config(self, discovery=None):
         raw = configuration(
             discovery or self.discovery.port, list(self.discovery.rows.values()), self.port, **self.options
         )
         self.file.write_text(json.dumps(raw))
 
-    def write_known(self, *rows):
+    def write_known_endpoints(self, *rows):
         """The file's own list, which may be old."""
         raw = json.loads(self.file.read_text())
         raw["known"]["servers"] = rows
@@ -124,7 +124,7 @@
         self.process.kill()
         await self.process.wait()
         self.discovery.requests.clear()
-        await self.run(*arguments or ("-m", "rushmux.gateway"))
+        await self.start(*arguments or ("-m", "rushmux.gateway"))
 
     async def open(self, options, nodes=1):
         """`nodes`: rows of the list; all of them lead to the one stand-in."""
@@ -132,9 +132,9 @@
         await self.node.open()
         await self.discovery.open()
         self.discovery.update(*(self.node.row(f"s{number}", number) for number in range(nodes)))
-        self.write()
+        self.write_config()
 
-    async def run(self, *arguments):
+    async def start(self, *arguments):
         """Starts it, with these arguments of the interpreter."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -144,13 +144,13 @@
             env={**os.environ, "NODE_CONFIG": str(self.file), "NODE_NAME": "n0"},
         )
 
-    async def client_once(self):
+    async def connect_once(self):
         return await FakeClient().open(self.port)
 
     async def client(self):
         for _ in range(100):
             try:
-                return await self.client_once()
+                return await self.connect_once()
             except OSError:
                 await asyncio.sleep(0.05)
         raise AssertionError("the gateway does not listen")
@@ -165,7 +165,7 @@
             fleet = ProcessFleet(tmp_path)
             await fleet.open(options, nodes)
             try:
-                await fleet.run(*arguments)
+                await fleet.start(*arguments)
                 async with asyncio.timeout(20):
                     return await scenario(fleet)
             finally:
--- a/tests/gateway/test_connection_close.py
+++ b/tests/gateway/test_connection_close.py
@@ -78,7 +78,7 @@
 
     async def scenario(fleet):
         usual = await fill(fleet)
-        newcomer = await fleet.client_with(*read_command(900))
+        newcomer = await fleet.client_that_sends(*read_command(900))
         given = await replies_until_end(newcomer)
         return given, [await client.request(*read_command(1_000 + at)) for at, client in enumerate(usual)]
 
@@ -91,7 +91,7 @@
 
     async def scenario(fleet):
         await fill(fleet)
-        newcomers = [await fleet.client_with(*read_command(900 + number)) for number in range(30)]
+        newcomers = [await fleet.client_that_sends(*read_command(900 + number)) for number in range(30)]
         ends = [asyncio.ensure_future(replies_until_end(client)) for client in newcomers]
         peak = 0
         while not all(end.done() for end in ends):
@@ -174,7 +174,7 @@
         loop.connect_accepted_socket = fails
         for _ in range(held.margin):
             await fleet.client()
-        usual = await fleet.client_with(b"PING")
+        usual = await fleet.client_that_sends(b"PING")
         async with asyncio.timeout(2):
             while not held.is_accepting_paused:
                 await asyncio.sleep(0.005)
@@ -194,7 +194,7 @@
         fleet.discovery.is_silent = True
         idle_clients = []
         for _ in range(200):
-            idle_clients.append(await fleet.client_once())
+            idle_clients.append(await fleet.connect_once())
         for client in idle_clients:
             client.send(b"PING")
         await asyncio.sleep(2.5)
@@ -204,7 +204,7 @@
         fleet.discovery.is_silent = False
         async with asyncio.timeout(6):
             while not node.received:
-                client = await fleet.client_once()
+                client = await fleet.connect_once()
                 client.send(*read_command(len(idle_clients) + 1, cell=1))
                 await client.reply()
                 idle_clients.append(client)
--- a/tests/gateway/test_discovery_deadline.py
+++ b/tests/gateway/test_discovery_deadline.py
@@ -322,14 +322,14 @@
         go = asyncio.Event()
         fleet.discovery.script = lambda target, text: [go, head(text) + text]
         fleet.discovery.update(fleet.node.row("s0", 0, "draining"))
-        fleet.write_known(fleet.node.row("s0", 0))
+        fleet.write_known_endpoints(fleet.node.row("s0", 0))
         await fleet.restart("-c", LONG_FIRST_LIST_TIMEOUT)
         async with asyncio.timeout(5):
             while not fleet.discovery.requests:
                 await asyncio.sleep(0.01)
         await asyncio.sleep(0.2)
         with pytest.raises(OSError):
-            await fleet.client_once()
+            await fleet.connect_once()
         go.set()
         client = await fleet.client()
         client.writer.write(encode_command([b"PING"]) + encode_command(read_command(1)))
@@ -377,7 +377,7 @@
     other = FakeDiscovery()
     await other.open()
     other.update(*fleet.discovery.rows.values())
-    fleet.write(discovery=other.port)
+    fleet.write_config(discovery=other.port)
     fleet.process.send_signal(signal.SIGHUP)
     async with asyncio.timeout(3):
         while not other.requests:
@@ -434,7 +434,7 @@
     async def scenario(fleet):
         await (await fleet.client()).request(b"PING")
         first = fleet.process
-        await fleet.run("-m", "rushmux.gateway")
+        await fleet.start("-m", "rushmux.gateway")
         log = (await fleet.process.stderr.read()).decode()
         code = await fleet.process.wait()
         first.terminate()
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -72,7 +72,7 @@
         other = FakeDiscovery()
         await other.open()
         other.version, other.rows = fleet.discovery.version, dict(fleet.discovery.rows)
-        fleet.write(other.port)
+        fleet.write_config(other.port)
         fleet.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.3)
         answer = await client.request(*read_command(1))
--- a/tests/gateway/test_races.py
+++ b/tests/gateway/test_races.py
@@ -336,7 +336,7 @@
             ["hang"] if int(arguments[2], 16) == 1 else [0.05, success_reply()]
         )
         await (await fleet.client()).request(b"PING")
-        client = await fleet.client_once()
+        client = await fleet.connect_once()
         client.writer.write(
             b"".join(encode_command(read_command(number + 1, time_left=9_000)) for number in range(asked))
         )
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -92,7 +92,7 @@
             pipe.request(1000 + 3 * number, 1001 + 3 * number, deadline=deadline)
             try:
                 new = Asker(fleet.port)
-                await new.open(await asyncio.wait_for(fleet.client_once(), STEP))
+                await new.open(await asyncio.wait_for(fleet.connect_once(), STEP))
                 askers.append(new)
                 new.request(number + 2, deadline=deadline)
             except (OSError, TimeoutError):
@@ -117,7 +117,7 @@
 
 async def asking(fleet, *commands):
     """A client that the system connected, with whole commands written; nobody need have accepted it."""
-    client = await fleet.client_once()
+    client = await fleet.connect_once()
     client.writer.write(b"".join(map(encode_command, commands)))
     return client
 
@@ -213,7 +213,7 @@
         assert await client.request(*read_command(1)) == ("$", b"data")
         fleet.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.2)
-        fleet.write(discovery=other.port)
+        fleet.write_config(discovery=other.port)
         fleet.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.2)
         answer = await client.request(*read_command(2))
