--- a/rushmux/cli/deployment_files.py
+++ b/rushmux/cli/deployment_files.py
@@ -22,10 +22,10 @@
 
     deployment = load_deployment(file, explain=True)
     if show_routes:
-        for line in explain.routes(deployment.routes):
+        for line in explain.describe_routes(deployment.routes):
             click.echo(line)
     if facts:
-        for line in explain.worst_cases(verifier.worst_cases(deployment.bounds, deployment.routes)):
+        for line in explain.describe_worst_cases(verifier.worst_cases(deployment.bounds, deployment.routes)):
             click.echo(line)
     settings = deployment.settings
     click.echo(
--- a/rushmux/cli/local_fleet.py
+++ b/rushmux/cli/local_fleet.py
@@ -58,7 +58,7 @@
 def _accept_nearest_cold_units(raw: dict, error: deployments.DeploymentError) -> None:
     """Takes over the nearest value that the verifier names for a cold node's units."""
     for finding in error.findings:
-        nearest = re.fullmatch(r"/fleet/cold_units (\S+)", finding.nearest)
+        nearest = re.fullmatch(r"/fleet/cold_units (\S+)", finding.suggestion)
         if nearest:
             raw["fleet"]["cold_units"] = float(nearest[1])
 
--- a/rushmux/edge/edge.py
+++ b/rushmux/edge/edge.py
@@ -17,7 +17,7 @@
 from rushmux.edge.quota_client import QuotaClient
 from rushmux.edge.session import Session
 from rushmux.nodewire import VERSION, messages
-from rushmux.routes.reload import MAX_NAMED, compare
+from rushmux.routes.reload import MAX_LISTED_ITEMS, compare
 from rushmux.scheduling.scheduler import Scheduler
 from rushmux.settings.deployment import Deployment, DeploymentError
 from rushmux.supervision import Supervisor
@@ -178,9 +178,9 @@
             return self._reject_reload([f"{place}: {text}" for place, text in error.faults])
         verdict = compare(self.deployment, deployment)
         if not verdict.accepted:
-            return self._reject_reload(list(verdict.obstacles))
+            return self._reject_reload(list(verdict.rejection_reasons))
         self.take_over(deployment)
-        changed = list(verdict.changed[:MAX_NAMED])
+        changed = list(verdict.changed[:MAX_LISTED_ITEMS])
         self.log.info("routes.reloaded", changed=changed, count=len(verdict.changed))
         return True
 
--- a/rushmux/edge/policy_client.py
+++ b/rushmux/edge/policy_client.py
@@ -12,7 +12,7 @@
 from rushmux.edge.policy_store import PolicyStore, StoredPolicies
 from rushmux.fleet.policy import Policy, PolicyMember
 from rushmux.nodewire import WireError, messages
-from rushmux.routes.reload import MAX_NAMED
+from rushmux.routes.reload import MAX_LISTED_ITEMS
 from rushmux.settings import policy as documents
 from rushmux.settings.deployment import DeploymentError
 
@@ -64,7 +64,7 @@
                 self.edge.own_deployment, proposed.text, f"policy {proposed.version}"
             )
         except DeploymentError as error:
-            return "; ".join(f"{place}: {text}" for place, text in error.faults[:MAX_NAMED])
+            return "; ".join(f"{place}: {text}" for place, text in error.faults[:MAX_LISTED_ITEMS])
         return "; ".join(documents.against(self.edge.deployment, deployment)) or None
 
     async def run(self) -> None:
@@ -144,7 +144,7 @@
             staged=state.staged_version or 0,
             degraded=state.degraded,
             serving=state.serving,
-            reduced=self._reduced_limits(limits)[:MAX_NAMED],
+            reduced=self._reduced_limits(limits)[:MAX_LISTED_ITEMS],
         )
         self.edge.on_policy_state(state)
 
--- a/rushmux/lab/model_check/scenarios.py
+++ b/rushmux/lab/model_check/scenarios.py
@@ -113,7 +113,7 @@
     window = settings.slow_start_window
     begin = 2 * window
     # The others that each gateway has work for: the part of all cells that the bounds state.
-    cell_count = max(1, round(1 / schedule.bounds.contended_cells))
+    cell_count = max(1, round(1 / schedule.bounds.contended_cell_fraction))
     endpoints = [_ready_node(0, begin), *(_ready_node(cell) for cell in range(1, cell_count))]
     schedule.call_at(begin, lambda: schedule.update_endpoints(endpoints))
     generator, count = random.Random(schedule.seed), 0
--- a/rushmux/routes/bounds.py
+++ b/rushmux/routes/bounds.py
@@ -32,7 +32,7 @@
     max_operations: int
     """Operations that a gateway has place for."""
     unit_bytes: int
-    contended_cells: float = 1.0
+    contended_cell_fraction: float = 1.0
     """The least part of all cells that gateways with work for a node in slow start work on."""
 
 
@@ -88,10 +88,10 @@
 
 def worst_slow_start_units(bounds: Bounds) -> float:
     """Units that all gateways together can send a node that just started within a window."""
-    return bounds.settings.slow_start_units / bounds.contended_cells + _units_beyond_shares(bounds)
+    return bounds.settings.slow_start_units / bounds.contended_cell_fraction + _units_beyond_shares(bounds)
 
 
 def nearest_slow_start_units(bounds: Bounds) -> float:
     """The most `cold_units` that pass, to a tenth; 0: none."""
     left = bounds.overload_units - _units_beyond_shares(bounds)
-    return max(0, int(left * bounds.contended_cells * 10) / 10)
+    return max(0, int(left * bounds.contended_cell_fraction * 10) / 10)
--- a/rushmux/routes/explain.py
+++ b/rushmux/routes/explain.py
@@ -23,7 +23,7 @@
     yield "budget", f"{policy.retry_ratio:g} each, {policy.retry_burst:g} saved" if has_budget else UNSET
 
 
-def routes(resolved: Iterable[ResolvedRoute]) -> Iterator[str]:
+def describe_routes(resolved: Iterable[ResolvedRoute]) -> Iterator[str]:
     """Lines: each class and plan with what it got and the row that said so."""
     for route in resolved:
         parts = []
@@ -35,7 +35,7 @@
         yield f"{route.request_class.name} / {route.plan}: {', '.join(parts)}"
 
 
-def worst_cases(found: Iterable[WorstCase]) -> Iterator[str]:
+def describe_worst_cases(found: Iterable[WorstCase]) -> Iterator[str]:
     """Lines: the worst of each matter against its bound."""
     for case in found:
         bound = "" if case.bound is None else f" of {case.bound:g}"
--- a/rushmux/routes/findings.py
+++ b/rushmux/routes/findings.py
@@ -37,7 +37,7 @@
     text: str
     worst: float
     bound: float
-    nearest: str
+    suggestion: str
     """The nearest value that passes."""
     guarded: bool
     """The scheduler keeps the rule by cutting the route short, so that the route cannot do what it says."""
@@ -47,7 +47,7 @@
         """Plain text: the refusal and its timeline."""
         yield f"{self.place}: {self.text}"
         kept = "; the module would cut it short" if self.guarded else ""
-        yield f"    rule: {self.rule}{kept}; passes: {self.nearest}"
+        yield f"    rule: {self.rule}{kept}; passes: {self.suggestion}"
         steps = sorted(self.steps[:MAX_STEPS], key=lambda step: step.at)
         yield from (f"    {step.at / TICKS_PER_MS:10.1f} ms  {step.what}" for step in steps)
 
--- a/rushmux/routes/fleet_checks.py
+++ b/rushmux/routes/fleet_checks.py
@@ -31,17 +31,17 @@
 def _slow_network(bounds: Bounds, request_class: RequestClass, others: int) -> Finding:
     about = f"lane '{request_class.name}'" + (f" and {others} other(s)" if others else "")
     half_interval = bounds.settings.round_interval // 2
-    nearest = f"way_ms {half_interval / 10:g}, or /fleet/tick_ms {2 * bounds.network_delay / 10:g}"
-    return _late_answer(bounds, request_class, about, "/bounds/way_ms", nearest)
+    suggestion = f"way_ms {half_interval / 10:g}, or /fleet/tick_ms {2 * bounds.network_delay / 10:g}"
+    return _late_answer(bounds, request_class, about, "/bounds/way_ms", suggestion)
 
 
 def _short_deadline(bounds: Bounds, request_class: RequestClass) -> Finding:
     about, place = f"lane '{request_class.name}'", f"/lanes/{request_class.name}/hard_stop_ms"
-    nearest = f"hard_stop_ms {(2 * bounds.network_delay + bounds.settings.round_interval) / 10:g}"
-    return _late_answer(bounds, request_class, about, place, nearest)
+    suggestion = f"hard_stop_ms {(2 * bounds.network_delay + bounds.settings.round_interval) / 10:g}"
+    return _late_answer(bounds, request_class, about, place, suggestion)
 
 
-def _late_answer(bounds: Bounds, request_class: RequestClass, about, place, nearest) -> Finding:
+def _late_answer(bounds: Bounds, request_class: RequestClass, about, place, suggestion) -> Finding:
     worst, deadline = latest_answer(bounds, request_class), request_class.deadline
     delay, interval = bounds.network_delay, bounds.settings.round_interval
     over = delay + time_in_scheduler(bounds, request_class)
@@ -56,7 +56,7 @@
         Step(over + interval, "the round that says so is late by a tick"),
         Step(worst, "the answer reaches the client"),
     )
-    return Finding(place, Rule.NO_LOSS, text, worst, deadline, nearest, False, steps)
+    return Finding(place, Rule.NO_LOSS, text, worst, deadline, suggestion, False, steps)
 
 
 def check_draining(bounds: Bounds, routes: list[ResolvedRoute]) -> Finding | None:
@@ -66,10 +66,10 @@
     worst = interval + wait + bounds.network_delay
     if worst <= bounds.drain_grace:
         return None
-    nearest = f"/fleet/drain_grace_ms {worst / 10:g}"
+    suggestion = f"/fleet/drain_grace_ms {worst / 10:g}"
     dial_timeout = bounds.drain_grace - interval - bounds.network_delay
     if dial_timeout > 0:
-        nearest += f", or /fleet/dial_ms {dial_timeout / 10:g}"
+        suggestion += f", or /fleet/dial_ms {dial_timeout / 10:g}"
     text = (
         f"an execution of {route.name} reaches a draining node {milliseconds(worst)} after this gateway was "
         f"told, {milliseconds(bounds.drain_grace)} are allowed"
@@ -81,7 +81,7 @@
         Step(worst, "it arrives"),
     )
     place = "/fleet/drain_grace_ms"
-    return Finding(place, Rule.DRAINING, text, worst, bounds.drain_grace, nearest, False, steps)
+    return Finding(place, Rule.DRAINING, text, worst, bounds.drain_grace, suggestion, False, steps)
 
 
 def check_slow_start(bounds: Bounds) -> Finding | None:
@@ -90,10 +90,10 @@
     if worst <= bounds.overload_units:
         return None
     count, window = settings.gateway_count, bounds.overload_window
-    shares, dithers = settings.slow_start_units / bounds.contended_cells, count * settings.max_units
+    shares, dithers = settings.slow_start_units / bounds.contended_cell_fraction, count * settings.max_units
     units = nearest_slow_start_units(bounds)
     fewer = "fewer gateways, a smaller most_units, or nodes that bear more"
-    nearest = f"/fleet/cold_units {units:g}" if units else fewer
+    suggestion = f"/fleet/cold_units {units:g}" if units else fewer
     text = (
         f"{count} gateways can send a just-started node {worst:.1f} units within {milliseconds(window)}, "
         f"{bounds.overload_units:g} push it over"
@@ -109,7 +109,7 @@
         Step(window, f"{worst:.1f} units within one span, and it falls over"),
     )
     place = "/fleet/cold_units"
-    return Finding(place, Rule.SLOW_START, text, worst, bounds.overload_units, nearest, False, steps)
+    return Finding(place, Rule.SLOW_START, text, worst, bounds.overload_units, suggestion, False, steps)
 
 
 def check_retry_budgets(bounds: Bounds, routes: list[ResolvedRoute]) -> list[Finding]:
@@ -132,8 +132,10 @@
         if own > fleet:
             window = milliseconds(settings.retry_budget_window)
             text = f"{route.name} may take {name} {own:g} in {window}, the fleet's budget has {fleet:g}"
-            nearest = f"{name} {fleet:g}"
-            found.append(Finding(route.place("budget"), Rule.RETRY_BUDGET, text, own, fleet, nearest, True))
+            suggestion = f"{name} {fleet:g}"
+            found.append(
+                Finding(route.place("budget"), Rule.RETRY_BUDGET, text, own, fleet, suggestion, True)
+            )
     return found
 
 
@@ -151,8 +153,8 @@
         Step(0, "one node that all use fails"),
         Step(1, "every route takes what it has saved up"),
     )
-    nearest = f"free {each:g} each"
-    return Finding(places[-1], Rule.RETRY_BUDGET, text, together, burst, nearest, True, steps)
+    suggestion = f"free {each:g} each"
+    return Finding(places[-1], Rule.RETRY_BUDGET, text, together, burst, suggestion, True, steps)
 
 
 def check_places(bounds: Bounds, routes: list[ResolvedRoute]) -> Finding | None:
@@ -166,5 +168,5 @@
         f"together {len(stated)} lanes and plans ({enumerated(places)}) may hold {together} operations, a "
         f"gateway has place for {bounds.max_operations} and sheds the rest at its door"
     )
-    nearest = f"held {bounds.max_operations // len(stated)} each"
-    return Finding(places[-1], Rule.NO_LOSS, text, together, bounds.max_operations, nearest, True)
+    suggestion = f"held {bounds.max_operations // len(stated)} each"
+    return Finding(places[-1], Rule.NO_LOSS, text, together, bounds.max_operations, suggestion, True)
--- a/rushmux/routes/resolve.py
+++ b/rushmux/routes/resolve.py
@@ -51,7 +51,7 @@
     return policy
 
 
-def faults(rows: list[dict], classes: Mapping, plans: Mapping) -> list[tuple[str, str]]:
+def find_row_faults(rows: list[dict], classes: Mapping, plans: Mapping) -> list[tuple[str, str]]:
     """Rows that name what is not there, or the same thing twice: (place, what is wrong)."""
     found, seen = [], {}
     for number, row in enumerate(rows):
--- a/rushmux/routes/route_checks.py
+++ b/rushmux/routes/route_checks.py
@@ -24,11 +24,11 @@
     if count > 1:
         by_objective = (request_class.latency_objective - 1) // (count - 1) - interval - policy.retry_delay
         timeout = min(timeout, by_objective)
-    nearest = f"{route.places['time_out_ms']} {timeout / 10:g}" if timeout > 0 else ""
+    suggestion = f"{route.places['time_out_ms']} {timeout / 10:g}" if timeout > 0 else ""
     fewer = next((less for less in range(count - 1, 0, -1) if attempts_fit(route, less, interval)), 0)
     if fewer:
-        nearest += f"{', or ' if nearest else ''}{route.places['executions']} {fewer}"
-    return nearest or "no time-out"
+        suggestion += f"{', or ' if suggestion else ''}{route.places['executions']} {fewer}"
+    return suggestion or "no time-out"
 
 
 def _attempt_steps(route: ResolvedRoute, count: int, interval: Ticks) -> tuple[Step, ...]:
@@ -72,8 +72,8 @@
             f"time of {milliseconds(objective)}, and none goes after it"
         )
     place = route.place("executions" if count > 1 else "time_out_ms", "time_out_ms")
-    nearest, steps = _nearest_fit(route, count, interval), _attempt_steps(route, count, interval)
-    return Finding(place, Rule.NO_LOSS, text, worst, bound, nearest, True, steps)
+    suggestion, steps = _nearest_fit(route, count, interval), _attempt_steps(route, count, interval)
+    return Finding(place, Rule.NO_LOSS, text, worst, bound, suggestion, True, steps)
 
 
 def check_hedging(bounds: Bounds, route: ResolvedRoute) -> Finding | None:
@@ -86,9 +86,9 @@
 def _check_hedging_allowed(bounds: Bounds, route: ResolvedRoute) -> Finding | None:
     policy, request_class, settings = route.policy, route.request_class, bounds.settings
 
-    def twice(text, nearest, *steps):
+    def twice(text, suggestion, *steps):
         place = route.place("second_copy")
-        return Finding(place, Rule.NO_DUPLICATE, f"{route.name}{text}", 2, 1, nearest, True, steps)
+        return Finding(place, Rule.NO_DUPLICATE, f"{route.name}{text}", 2, 1, suggestion, True, steps)
 
     if not settings.allows_hedging:
         text = ": two executions would be out at a time, the fleet allows one"
@@ -122,7 +122,7 @@
     if answered < awaited:
         return None
     latest = awaited - 1 - interval - 2 * bounds.network_delay
-    nearest = f"after_ms {latest / 10:g}, or second_copy false" if latest >= 0 else "second_copy false"
+    suggestion = f"after_ms {latest / 10:g}, or second_copy false" if latest >= 0 else "second_copy false"
     text = (
         f"{route.name}: a copy sent after {milliseconds(hedge_after)} is answered after "
         f"{milliseconds(answered)} at the earliest, and nothing is awaited past {milliseconds(awaited)}"
@@ -135,7 +135,7 @@
         Step(answered, "its answer could come"),
     )
     place = route.place("second_copy")
-    return Finding(place, Rule.NO_LOSS, text, answered, awaited - 1, nearest, True, steps)
+    return Finding(place, Rule.NO_LOSS, text, answered, awaited - 1, suggestion, True, steps)
 
 
 def check_dedup_window(bounds: Bounds, route: ResolvedRoute) -> Finding | None:
@@ -152,10 +152,10 @@
     if repeat_at < 0 or arrives_at <= window:
         return None
     class_place = f"/lanes/{request_class.name}/window_ms"
-    nearest = f"{class_place} {(objective + interval + delay) / 10:g}, or executions 1"
+    suggestion = f"{class_place} {(objective + interval + delay) / 10:g}, or executions 1"
     timeout = window - repeat_at - bounds.network_delay - interval
     if timeout > 0:
-        nearest += f", or time_out_ms {timeout / 10:g}"
+        suggestion += f", or time_out_ms {timeout / 10:g}"
     text = (
         f"{route.name}: a repeat reaches its node {milliseconds(arrives_at)} after the first was sent, and "
         f"its mark is known for {milliseconds(window)}"
@@ -167,4 +167,4 @@
         Step(arrives_at, "the repeat arrives and runs anew"),
     )
     place = route.place("executions", "time_out_ms") if route.places else class_place
-    return Finding(place, Rule.NO_DUPLICATE, text, arrives_at, window, nearest, False, steps)
+    return Finding(place, Rule.NO_DUPLICATE, text, arrives_at, window, suggestion, False, steps)
--- a/rushmux/settings/deployment.py
+++ b/rushmux/settings/deployment.py
@@ -199,7 +199,7 @@
         served_units=bounds.get("cold_serves_units", overload_units / fleet["fall_multiple"]),
         max_operations=bounds["held"],
         unit_bytes=fleet["unit_bytes"],
-        contended_cells=bounds["cold_wanted"],
+        contended_cell_fraction=bounds["cold_wanted"],
     )
 
 
--- a/rushmux/settings/deployment_checks.py
+++ b/rushmux/settings/deployment_checks.py
@@ -53,7 +53,7 @@
     routes = _without(raw.get("routes", []), bad_rows)
     for check_part in (_class_faults, _role_faults, _plan_faults, _folder_faults):
         found += check_part(raw)
-    unknown = resolve.faults(routes, raw["lanes"], raw["plans"])
+    unknown = resolve.find_row_faults(routes, raw["lanes"], raw["plans"])
     found += unknown
     routes = _without(routes, {int(place.split("/")[2]) for place, _ in unknown})
     for check_part in (_buffer_faults, _size_faults, _patience_faults):
--- a/rushmux/settings/policy.py
+++ b/rushmux/settings/policy.py
@@ -7,7 +7,7 @@
 import copy
 import json
 
-from rushmux.routes.reload import differences, name_first
+from rushmux.routes.reload import abbreviate, differing_places
 from rushmux.settings.deployment import Deployment, DeploymentError, build
 
 DECIDES = ("lanes", "roles", "plans", "folders", "fleet", "routes", "bounds", "buffer")
@@ -58,11 +58,11 @@
     That is all that differs but routes, and limits and bursts of plans that keep one.
     """
     found = []
-    for place in differences(now.raw, proposed.raw):
+    for place in differing_places(now.raw, proposed.raw):
         match place.split("/"):
             case ["", "plans", plan, field] if field in LIVE:
                 values = [made.raw["plans"].get(plan, {}).get(field) for made in (now, proposed)]
                 if all(values):
                     continue
         found.append(f"{place}: changes only with a start")
-    return list(name_first(found))
+    return list(abbreviate(found))
--- a/tests/routes/test_broken.py
+++ b/tests/routes/test_broken.py
@@ -59,7 +59,7 @@
     assert len(found) == len(REFUSED[path.stem]), [finding.text for finding in found]
     for finding, (place, rule, word) in zip(found, REFUSED[path.stem], strict=True):
         assert (finding.place, finding.rule) == (place, rule) and word in finding.text
-        assert finding.worst > finding.bound and finding.nearest
+        assert finding.worst > finding.bound and finding.suggestion
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
@@ -68,7 +68,7 @@
     assert result.exit_code == 1 and "Traceback" not in result.output
     for finding in findings(json.loads(path.read_text())):
         assert f"{finding.place}: {finding.text}" in result.output
-        assert f"passes: {finding.nearest}" in result.output
+        assert f"passes: {finding.suggestion}" in result.output
 
 
 def test_rows_for_what_is_not_there_are_told_beside_what_would_break():
@@ -100,7 +100,7 @@
 
 def changed(raw, finding):
     """The file with the nearest value that the finding names first put in; None: it names none."""
-    named = re.match(r"(\S+) (-?[\d.]+|false|true)( each)?(?=$|,| )", finding.nearest)
+    named = re.match(r"(\S+) (-?[\d.]+|false|true)( each)?(?=$|,| )", finding.suggestion)
     if named is None:
         return None
     field, value, raw = named[1], json.loads(named[2]), copy.deepcopy(raw)
--- a/tests/routes/test_verifier.py
+++ b/tests/routes/test_verifier.py
@@ -83,7 +83,7 @@
 def test_a_hard_stop_shorter_than_two_ticks(raw, refused):
     raw["lanes"]["limpieza"].update(quoted_ms=8.9, hard_stop_ms=8.9)
     (finding,) = refused()
-    assert finding.place == "/lanes/limpieza/hard_stop_ms" and finding.nearest == "hard_stop_ms 9"
+    assert finding.place == "/lanes/limpieza/hard_stop_ms" and finding.suggestion == "hard_stop_ms 9"
 
 
 def test_routes_that_are_safe_alone_are_refused_together(refused):
