--- a/rushmux/fleet/policy/coordinator.py
+++ b/rushmux/fleet/policy/coordinator.py
@@ -42,7 +42,7 @@
         """Since when a staged version is seen."""
         self.returning_members: dict[str, bool] = {}
         """Forgotten members that asked for a lease (an ordered set)."""
-        self.deciding: PendingDecision | None = None
+        self.pending_decision: PendingDecision | None = None
 
     # Leases.
 
@@ -78,7 +78,7 @@
             return None
         self.latest_requests[request.member] = request
         # A change that is being decided without this member must not find it with a lease.
-        if self.deciding is not None and request.member not in self.deciding.joint:
+        if self.pending_decision is not None and request.member not in self.pending_decision.joint:
             return None
         self.lease_expiry[request.member] = _planner_lease_end(now)
         return LeaseGrant(request.member, request.request_id, term, index, machine.active, machine.staged)
@@ -105,7 +105,7 @@
 
     def on_command_rejected(self) -> None:
         """The log did not take the command that `next_command` gave."""
-        self.deciding = None
+        self.pending_decision = None
 
     def _decide_next(self, now: float) -> Command | None:
         machine = self.state_machine
@@ -116,10 +116,10 @@
         if returning:
             return ReinstateMembers(returning)
         if machine.staged is None:
-            self.deciding = None
+            self.pending_decision = None
             self.staged_since = {}
             return self._record_activations(machine.active)
-        if self.deciding is not None and self.deciding.version == machine.staged.version:
+        if self.pending_decision is not None and self.pending_decision.version == machine.staged.version:
             return None
         return self._advance_rollout(now, machine.staged)
 
@@ -162,7 +162,7 @@
     def _decide(self, staged: Policy, not_joint: Sequence[str]) -> DecideChange:
         members = self.state_machine.members
         joint = tuple(member for member in members if member not in not_joint)
-        self.deciding = PendingDecision(staged.version, dict.fromkeys(joint, True))
+        self.pending_decision = PendingDecision(staged.version, dict.fromkeys(joint, True))
         return DecideChange(staged.version, joint, f"{len(joint)} of {len(members)} were there")
 
 
--- a/rushmux/standins/policy_model_key.py
+++ b/rushmux/standins/policy_model_key.py
@@ -10,7 +10,7 @@
     """What tells two states apart.  Members differ by nothing but their names: they are put in order."""
     members = tuple(sorted(_member_key(state, name) for name in state.members))
     coordinators = tuple(
-        (term, _age(state, coordinator.predecessor_leases_end), coordinator.deciding is not None)
+        (term, _age(state, coordinator.predecessor_leases_end), coordinator.pending_decision is not None)
         for term, coordinator in state.coordinators.items()
     )
     return hash(
@@ -58,7 +58,7 @@
     return (
         _age(state, coordinator.lease_expiry.get(name, 0.0)),
         (0, 0) if request is None else (request.active_version, request.joint_version),
-        coordinator.deciding is not None and name in coordinator.deciding.joint,
+        coordinator.pending_decision is not None and name in coordinator.pending_decision.joint,
     )
 
 
--- a/rushmux/standins/policy_mutants.py
+++ b/rushmux/standins/policy_mutants.py
@@ -121,9 +121,9 @@
 
     def grant_lease(self, now: float, request: LeaseRequest, term: int, index: int) -> LeaseGrant | None:
         """As the original, as if nothing were being decided."""
-        deciding, self.deciding = self.deciding, None
+        pending_decision, self.pending_decision = self.pending_decision, None
         grant = super().grant_lease(now, request, term, index)
-        self.deciding = deciding
+        self.pending_decision = pending_decision
         return grant
 
 
