--- a/rushmux/cli/node.py
+++ b/rushmux/cli/node.py
@@ -86,7 +86,7 @@
             record=open_recorder(options.records, asyncio.get_running_loop()),
             accepts_faults=accepts_faults,
         )
-        await serve(server, options, start=server.start)
+        await serve(server, options, start=server.incarnation)
 
     asyncio.run(run())
 
--- a/rushmux/planner/fleet_state.py
+++ b/rushmux/planner/fleet_state.py
@@ -51,7 +51,7 @@
         self.membership.restore(
             now,
             [
-                StoredMember(row.name, MemberKind(row.kind), row.start, row.name in self.drained)
+                StoredMember(row.name, MemberKind(row.kind), row.incarnation, row.name in self.drained)
                 for row in rows
             ],
         )
--- a/rushmux/planner/membership_store.py
+++ b/rushmux/planner/membership_store.py
@@ -29,21 +29,21 @@
     Attributes:
         name: the member's name.
         kind: the value of its `MemberKind`.
-        start: its incarnation; another one at each start of the member.
+        incarnation: differs at each start of the member.
         draining: whether operators have it drained.
         entry: a node's serialized `messages.Entry`; empty for an edge.
     """
 
     name: str
     kind: str
-    start: str
+    incarnation: str
     draining: bool
     entry: bytes
 
     @property
     def checksum(self) -> int:
         """The CRC32 that is stored with the row."""
-        return _checksum(self.name, self.kind, self.start, int(self.draining), self.entry)
+        return _checksum(self.name, self.kind, self.incarnation, int(self.draining), self.entry)
 
 
 class StoredMembers(NamedTuple):
@@ -53,8 +53,8 @@
     damaged: list[str]
 
 
-def _checksum(name: str, kind: str, start: str, draining: int, entry: bytes) -> int:
-    return zlib.crc32("\0".join(map(str, (name, kind, start, draining, entry.hex()))).encode())
+def _checksum(name: str, kind: str, incarnation: str, draining: int, entry: bytes) -> int:
+    return zlib.crc32("\0".join(map(str, (name, kind, incarnation, draining, entry.hex()))).encode())
 
 
 class MembershipStore:
@@ -102,9 +102,9 @@
         """Reads all members."""
         stored = StoredMembers([], [])
         cursor = self._connection.execute("select * from members order by name limit ?", (MAX_ROWS,))
-        for name, kind, start, draining, entry, checksum in cursor:
-            if checksum == _checksum(name, kind, start, draining, entry):
-                stored.rows.append(MemberRow(name, kind, start, bool(draining), entry))
+        for name, kind, incarnation, draining, entry, checksum in cursor:
+            if checksum == _checksum(name, kind, incarnation, draining, entry):
+                stored.rows.append(MemberRow(name, kind, incarnation, bool(draining), entry))
             else:
                 stored.damaged.append(name)
         return stored
@@ -119,7 +119,10 @@
             self._connection.execute("begin immediate")
             self._connection.executemany(
                 "insert or replace into members values (?, ?, ?, ?, ?, ?)",
-                [(row.name, row.kind, row.start, int(row.draining), row.entry, row.checksum) for row in rows],
+                [
+                    (row.name, row.kind, row.incarnation, int(row.draining), row.entry, row.checksum)
+                    for row in rows
+                ],
             )
             self._connection.executemany("delete from members where name = ?", [(name,) for name in removed])
             self._store_about(version=version)
--- a/rushmux/planner/server.py
+++ b/rushmux/planner/server.py
@@ -70,13 +70,13 @@
 
     Attributes:
         name: what the server calls itself in its greeting.
-        start: its incarnation; another one at each start.
+        incarnation: differs at each start of the process.
         port: where it listens, once it does.
     """
 
-    def __init__(self, name: str, start: str, log: structlog.typing.FilteringBoundLogger):
+    def __init__(self, name: str, incarnation: str, log: structlog.typing.FilteringBoundLogger):
         self.name = name
-        self.start = start
+        self.incarnation = incarnation
         self.log = log
         self.server: asyncio.Server | None = None
         self.port: int | None = None
@@ -192,5 +192,7 @@
         if greeting.WhichOneof("body") != "hello" or greeting.hello.version != VERSION:
             raise WireError("no greeting, or one of another version")
         peer = PeerConnection(writer, greeting.hello, self.log)
-        peer.send(welcome=messages.Welcome(version=VERSION, peer=self.name, start=self.start, age=self.age()))
+        peer.send(
+            welcome=messages.Welcome(version=VERSION, peer=self.name, start=self.incarnation, age=self.age())
+        )
         return peer
--- a/rushmux/standins/node.py
+++ b/rushmux/standins/node.py
@@ -117,7 +117,7 @@
             node=self.name,
             cell=self.cell,
             cold=self.cold,
-            start=self.start,
+            start=self.incarnation,
             per_second=self.model.units_per_second(),
             cold_start=self.shape.cold_start,
             warm_within=self.shape.warm_within,
@@ -159,7 +159,7 @@
             cell=self.cell,
             zone=self.zone,
             condition=self.state,
-            start=self.start,
+            start=self.incarnation,
             age=self.age(),
             total=self.store.limit,
             free=self.store.free,
@@ -181,7 +181,7 @@
         """Reports until the connection ends."""
         reader, writer = await asyncio.open_connection(*address)
         try:
-            hello = messages.Hello(version=VERSION, peer=self.name, start=self.start)
+            hello = messages.Hello(version=VERSION, peer=self.name, start=self.incarnation)
             writer.write(frame(messages.Message(hello=hello)))
             reading = self.loop.create_task(self._read_from_source(reader))
             try:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -134,10 +134,8 @@
     rows, damaged = store.load()
     assert not damaged and store.version == 17 and store.term == 2
     edge, node = rows
-    assert edge == MemberRow("edge0", "edge", "e1", True, b"") and (node.name, node.kind, node.start) == (
-        "node0",
-        "node",
-        "s1",
+    assert edge == MemberRow("edge0", "edge", "e1", True, b"") and (
+        (node.name, node.kind, node.incarnation) == ("node0", "node", "s1")
     )
     entry = messages.Entry.FromString(node.entry)
     assert (entry.node, entry.cell, entry.zone, entry.condition) == ("node0", 2, "z1", "ready")
