--- a/rushmux/settings/policy.py
+++ b/rushmux/settings/policy.py
@@ -7,7 +7,7 @@
 import copy
 import json
 
-from rushmux.routes.reload import differences, name_first
+from rushmux.routes.reload import abbreviate, differing_places
 from rushmux.settings.deployment import Deployment, DeploymentError, build
 
 POLICY_SECTIONS = ("lanes", "roles", "plans", "folders", "fleet", "routes", "bounds", "buffer")
@@ -62,11 +62,11 @@
     Routes can change at run time, and so can the limits and bursts of plans that keep having one.
     """
     found = []
-    for place in differences(current.raw, proposed.raw):
+    for place in differing_places(current.raw, proposed.raw):
         match place.split("/"):
             case ["", "plans", plan, field] if field in LIVE_PLAN_FIELDS:
                 values = [made.raw["plans"].get(plan, {}).get(field) for made in (current, proposed)]
                 if all(values):
                     continue
         found.append(f"{place}: changes only with a start")
-    return list(name_first(found))
+    return list(abbreviate(found))
