--- a/rushmux/gateway/__main__.py
+++ b/rushmux/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one gateway on the platform until SIGTERM; `NODE_CONFIG` names its configuration file."""
+"""Runs one gateway until SIGTERM; the environment variable `NODE_CONFIG` names its configuration file."""
 
 import asyncio
 import os
@@ -8,6 +8,6 @@
 from rushmux.gateway.process import serve
 
 if __name__ == "__main__":
-    # A signal before the loop runs would end the process.
+    # The default action of SIGHUP would end the process before the event loop installs its handler.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     sys.exit(asyncio.run(serve(os.environ.get("NODE_CONFIG", ""))))
--- a/rushmux/gateway/bounded_log.py
+++ b/rushmux/gateway/bounded_log.py
@@ -1,4 +1,4 @@
-"""The gateway's log: a line of text an event, on standard error, bounded in rate."""
+"""Rate-limited log of the gateway: one line of text per event on standard error."""
 
 import sys
 import traceback
@@ -6,19 +6,19 @@
 from typing import TextIO
 
 LINES_PER_SECOND = 20
-"""In the long run: what an operator can still use."""
+"""Sustained rate; an operator can't follow more."""
 BURST = 200
-"""Lines at once: a start, a reload, a node's end."""
+"""Lines that may be written at once, as at a start, a reload or the loss of a node."""
 TRACEBACK_FRAMES = 4
-"""The innermost that an exception's line holds."""
+"""Innermost frames of a traceback that are logged."""
 
 
 class BoundedLogger:
-    """Takes events by level, as the other programs' loggers do.
+    """Logger limited by a token bucket, with the interface of the other programs' loggers.
 
     Attributes:
-        tokens: Lines that may be written now; a token bucket.
-        dropped: Lines that were not written since the last one that was.
+        tokens: Lines that may be written now.
+        dropped: Lines dropped since the last one that was written.
     """
 
     def __init__(self, clock: Callable[[], float], name: str, sink: TextIO = sys.stderr):
@@ -44,14 +44,14 @@
         print(f"{now:.3f} {self.name} {level} {event} {values}", file=self.sink, flush=True)
 
     def debug(self, event: str, **fields) -> None:
-        """Writes nothing: what happens to each operation is not logged here."""
+        """Discards the event: events of single operations are not logged."""
 
     def info(self, event: str, **fields) -> None:
-        """Logs an event of usual operation."""
+        """Logs an event of normal operation."""
         self._write("info", event, fields)
 
     def warning(self, event: str, **fields) -> None:
-        """Logs an event that an operator may have to look at."""
+        """Logs an event that an operator may need to check."""
         self._write("warning", event, fields)
 
     def error(self, event: str, **fields) -> None:
@@ -59,6 +59,6 @@
         self._write("error", event, fields)
 
     def exception(self, event: str, **fields) -> None:
-        """Logs a failure with the exception being handled."""
+        """Logs a failure with the traceback of the exception being handled."""
         text = traceback.format_exc(limit=-TRACEBACK_FRAMES).strip().replace("\n", " | ")
         self._write("error", event, {**fields, "fault": text})
--- a/rushmux/gateway/client_connection.py
+++ b/rushmux/gateway/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: bytes to commands, and replies in the order of the commands."""
+"""A client connection: reads commands and sends their replies in order."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from rushmux.gateway.event_loop import call_after_polling
-from rushmux.gateway.eviction import NEWCOMER_GRACE
+from rushmux.gateway.eviction import NEW_CLIENT_GRACE
 from rushmux.gateway.lingering_close import LingeringClose
 from rushmux.resp import CommandReader, ProtocolError, encode_error
 
@@ -16,44 +16,44 @@
     from rushmux.gateway.listener import Listener
 
 MAX_PENDING_REPLIES = 64
-"""Commands of one connection that are not answered; beyond it no more are taken."""
+"""Unanswered commands of a connection above which no more commands are processed."""
 MAX_UNREAD_REPLY_BYTES = 1 << 19
-"""Bytes of replies that a client has not read; beyond it no more commands are taken."""
+"""Bytes of unread replies of a connection above which no more commands are processed."""
 MAX_DISCARDED_BYTES = 1 << 20
-"""Bytes of one connection that are read and discarded; then nothing more is read."""
+"""Bytes of input discarded on a connection that is ending, after which reading stops."""
 MAX_READ_AHEAD = 1 << 17
-"""Bytes of one connection's commands that are read before they can be taken.
+"""Bytes of unprocessed commands that are read from a connection.
 
-Behind them, the end of a client that sent hundreds of commands at once and left is still seen.
+Reading ahead detects the close of a client that sent hundreds of commands at once and left.
 """
 MAX_TOTAL_READ_AHEAD = 4 << 20
-"""The same of all connections: beyond it none is read that can't take commands."""
+"""Bytes of unprocessed commands over all connections above which none reads ahead."""
 MAX_PROTOCOL_ERRORS = 3
-"""Invalid commands of one connection until it is closed."""
+"""Invalid commands after which a connection is closed."""
 QUIET_TIME = 0.02
-"""Seconds without a command after which a connection may end at a shutdown.
+"""Seconds without a command after which a connection may be closed during a shutdown.
 
-The next command of a client that asks again at once is on its way for a few milliseconds.
+The next command of a client that sends one right after each reply takes a few milliseconds to arrive.
 """
 
 
 class ConnectionState(Enum):
-    """What a connection still does; it only moves downwards."""
+    """State of a connection; it only advances in the order listed."""
 
     OPEN = "open"
-    """Takes commands."""
+    """Accepts commands."""
     FINISHING = "finishing"
-    """Takes no more commands; ends once its pending replies were sent."""
+    """Accepts no more commands and ends after its pending replies were sent."""
     LINGERING = "lingering"
-    """Has sent everything; see `lingering_close`."""
+    """All replies were sent; see `lingering_close`."""
 
 
 class PendingReply:
-    """The place of one command's reply.
+    """The reply to one command, in the order of the commands.
 
     Attributes:
-        reply: The reply's bytes; None: not known yet.
-        op_id: The operation that gives the reply; None: none, or the client has gone.
+        reply: The encoded reply; None until it is known.
+        op_id: Id of the operation that produces the reply; None if there is none or the client has gone.
     """
 
     __slots__ = ("client", "op_id", "reply")
@@ -64,25 +64,26 @@
         self.op_id: str | None = None
 
     def complete(self, reply: bytes) -> None:
-        """Sets the reply and sends it once all before it are sent."""
+        """Sets the reply, which is sent after all earlier ones."""
         self.reply = reply
         self.client.flush()
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection.
+    """A client connection.
 
-    The flags beside `state` vary independently of it and of each other: what the client has sent so far, and
-    which of the two directions is paused.
+    The flags for what the client has sent and for which direction is paused are independent of `state` and
+    of each other.
 
     Attributes:
-        pending_replies: In the order of commands; the first is the next to be sent.
-        last_active_at: The loop's time at which it became idle or the incomplete command began.
-        has_sent_command: Whether a complete command came.
-        has_requested_operation: Whether one of them was a read or write.
-        has_untaken_commands: Whether commands may be in the buffer that were not taken.
-        read_ahead_bytes: Bytes that wait to be taken.
-        discards_input: Whether what comes while it finishes is read and discarded.
+        pending_replies: Replies not sent yet, in the order of the commands.
+        last_active_at: Event loop time of the last command or reply, or of the start of a partial command.
+        has_sent_command: Whether a complete command was received.
+        has_requested_operation: Whether a read or write was received.
+        has_unprocessed_commands: Whether the buffer may hold complete commands.
+        has_shutdown_check: Whether `_close_if_quiet` is scheduled.
+        read_ahead_bytes: Bytes of unprocessed commands in the buffer.
+        discards_input: Whether input is read and discarded after the connection stopped accepting commands.
     """
 
     def __init__(self, listener: Listener):
@@ -95,7 +96,7 @@
         self.connected_at = self.last_active_at = listener.loop.time()
         self.has_sent_command = False
         self.has_requested_operation = False
-        self.has_untaken_commands = False
+        self.has_unprocessed_commands = False
         self.is_reading_paused = False
         self.is_writing_paused = False
         self.writing_paused_at = 0.0
@@ -107,40 +108,40 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it takes commands."""
+        """Whether the connection accepts commands."""
         return self.state is ConnectionState.OPEN
 
     @property
     def is_lingering(self) -> bool:
-        """Whether everything was sent and only the close is left."""
+        """Whether all replies were sent and only the close is left."""
         return self.state is ConnectionState.LINGERING
 
     def is_silent(self) -> bool:
-        """Returns whether not a byte of a command has come."""
+        """Returns whether the client has sent nothing so far."""
         return not self.has_sent_command and not self.reader.has_partial_command()
 
     def is_idle(self) -> bool:
-        """Returns whether it is open with no pending reply and no incomplete command."""
+        """Returns whether the connection is open with no pending reply and no partial command."""
         return not self.pending_replies and not self.reader.has_partial_command() and self.is_open
 
     # Commands.
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """The connection is up (`asyncio.Protocol`)."""
+        """Registers the connection (`asyncio.Protocol`)."""
         self.transport = transport
         transport.set_write_buffer_limits(high=MAX_UNREAD_REPLY_BYTES)
         self.listener.add_client(self)
 
     def data_received(self, data: bytes) -> None:
-        """Takes the commands that came (`asyncio.Protocol`)."""
+        """Processes received commands (`asyncio.Protocol`)."""
         if self.state is not ConnectionState.OPEN:
             self._discard(len(data))
             return
-        # An incomplete command may grow a byte at a time: its time counts from its first byte.
+        # The timeout of a command counts from its first byte, since it may arrive a byte at a time.
         if not self.reader.has_partial_command():
             self.last_active_at = self.listener.loop.time()
         self.reader.receive_data(data)
-        self._take_commands()
+        self._process_commands()
 
     def _discard(self, size: int) -> None:
         self.discarded_bytes += size
@@ -148,10 +149,10 @@
             self.lingering_close.last_input_at = self.listener.loop.time()
         self._update_reading()
 
-    def _take_commands(self) -> None:
-        # Takes as many of the commands that came as may be pending at a time.
+    def _process_commands(self) -> None:
+        # Processes buffered commands up to the limit of pending replies.
         error_text = None
-        self.has_untaken_commands = True
+        self.has_unprocessed_commands = True
         try:
             while (
                 len(self.pending_replies) < MAX_PENDING_REPLIES
@@ -160,7 +161,7 @@
             ):
                 arguments = self.reader.next_command()
                 if arguments is None:
-                    self.has_untaken_commands = False
+                    self.has_unprocessed_commands = False
                     break
                 self.has_sent_command = True
                 self.last_active_at = self.listener.loop.time()
@@ -175,16 +176,16 @@
         self._update_reading()
         self.flush()
 
-    def _take_more_commands(self) -> None:
+    def _process_more_commands(self) -> None:
         if self.state is ConnectionState.OPEN and not self.transport.is_closing():
-            self._take_commands()
+            self._process_commands()
 
     # Flow control.
 
     def _update_reading(self) -> None:
-        # Commands at full speed would grow the buffers, so reading pauses.  While it is paused, the end of a
-        # client that left is not seen behind what it sent, and all that it asked for would begin for nobody;
-        # so a bounded part of the commands that can't be taken yet is read all the same.
+        # Reading pauses while commands can't be processed, since the buffer would grow. A paused connection
+        # hides its client's close, and the commands of a client that left would still be executed; so a
+        # bounded amount is read ahead.
         read_ahead_bytes = self.reader.unread_bytes()
         self.listener.read_ahead_bytes += read_ahead_bytes - self.read_ahead_bytes
         self.read_ahead_bytes = read_ahead_bytes
@@ -202,25 +203,25 @@
     def _must_pause_reading(self) -> bool:
         if self.state is not ConnectionState.OPEN:
             return not self.discards_input or self.discarded_bytes > MAX_DISCARDED_BYTES
-        can_take = not self.is_writing_paused and len(self.pending_replies) < MAX_PENDING_REPLIES
-        return not can_take and (
+        can_process = not self.is_writing_paused and len(self.pending_replies) < MAX_PENDING_REPLIES
+        return not can_process and (
             self.read_ahead_bytes >= MAX_READ_AHEAD or self.listener.read_ahead_bytes >= MAX_TOTAL_READ_AHEAD
         )
 
     def pause_writing(self) -> None:
-        """The client does not read its replies (`asyncio.Protocol`)."""
+        """Stops processing commands: the client does not read its replies (`asyncio.Protocol`)."""
         self.is_writing_paused = True
         self.writing_paused_at = self.listener.loop.time()
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """The client has read most of its replies (`asyncio.Protocol`)."""
+        """Resumes processing: the client has read most of its replies (`asyncio.Protocol`)."""
         self.is_writing_paused = False
         self._update_reading()
-        self.listener.loop.call_soon(self._take_more_commands)
+        self.listener.loop.call_soon(self._process_more_commands)
 
     def flush(self) -> None:
-        """Sends the replies that are next in order."""
+        """Sends the replies that are complete, up to the first incomplete one."""
         parts = []
         while self.pending_replies and self.pending_replies[0].reply is not None:
             parts.append(self.pending_replies.popleft().reply)
@@ -233,23 +234,23 @@
             if not self.pending_replies:
                 self._linger()
         elif (
-            self.has_untaken_commands
+            self.has_unprocessed_commands
             and not self.is_writing_paused
             and len(self.pending_replies) <= MAX_PENDING_REPLIES // 2
         ):
-            self.listener.loop.call_soon(self._take_more_commands)
+            self.listener.loop.call_soon(self._process_more_commands)
         elif self.listener.is_shutting_down and not self.pending_replies:
             self.close_when_quiet()
 
-    # Its end.
+    # Closing.
 
     def finish(self, discards_input: bool = False) -> None:
-        """Takes no more commands; the connection ends when its pending replies were sent.
+        """Stops accepting commands; the connection ends after its pending replies were sent.
 
         Args:
-            discards_input: Reads and discards what still comes, so that the end is no reset and the client
-                reads the error.  Only for input of no use: a good command that crosses the end would be read
-                and never answered.  Left unread, it makes a reset, and its client sends it once more.
+            discards_input: Whether to read and discard further input, so that the client reads the error
+                instead of a reset. Only for malformed input: a valid command that arrives during the close
+                must stay unread, since the reset makes its client retry it.
         """
         if self.state is ConnectionState.OPEN:
             self.state = ConnectionState.FINISHING
@@ -258,7 +259,7 @@
         self._update_reading()
 
     def finish_with_error(self, text: str) -> None:
-        """Sends an error behind the pending replies and takes no more commands."""
+        """Sends an error after the pending replies and stops accepting commands."""
         self.pending_replies.append(PendingReply(self, encode_error(text)))
         self.finish()
         self.flush()
@@ -269,9 +270,9 @@
             self.lingering_close = LingeringClose(self)
 
     def close_when_quiet(self) -> None:
-        """At a shutdown, ends the connection once it was quiet for a while with no pending reply.
+        """During a shutdown, closes the connection once it is quiet with no pending reply.
 
-        Closed right behind its reply, the command of a client that asks again at once would never be read.
+        Closing right after a reply would lose the next command of a client that sends one at once.
         """
         if not self.has_shutdown_check:
             self.has_shutdown_check = True
@@ -283,7 +284,7 @@
         if not self.is_idle() or self.transport.is_closing():
             return
         may_be_new = not self.has_sent_command and self.listener.is_listening
-        quiet_time = NEWCOMER_GRACE if may_be_new else QUIET_TIME
+        quiet_time = NEW_CLIENT_GRACE if may_be_new else QUIET_TIME
         if self.listener.loop.time() - self.last_active_at < quiet_time:
             self.close_when_quiet()
             return
@@ -291,23 +292,22 @@
         self._linger()
 
     def eof_received(self) -> bool:
-        """The client has ended its sending, so it has gone (`asyncio.Protocol`).
+        """Treats the client as gone and abandons its operations (`asyncio.Protocol`).
 
-        What it asked for would be served to nobody.  The connection is not lost yet while replies that the
-        client has not read are in the buffer.
+        Unread replies in the buffer may delay `connection_lost`.
         """
         self.abandon_operations()
         return False
 
     def abandon_operations(self) -> None:
-        """The client has gone: tells its operations so at once."""
+        """Reports the unanswered operations of a client that has gone."""
         for pending in self.pending_replies:
             if pending.op_id is not None and pending.reply is None:
                 self.listener.on_client_gone(pending.op_id)
                 pending.op_id = None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection ended (`asyncio.Protocol`)."""
+        """Cleans up after the connection ended (`asyncio.Protocol`)."""
         self.finish()
         self.abandon_operations()
         self.pending_replies = deque()
--- a/rushmux/gateway/client_timeouts.py
+++ b/rushmux/gateway/client_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of clients' connections: no complete command, idle, replies not read."""
+"""Timeouts of client connections: incomplete command, idle connection, unread replies."""
 
 from __future__ import annotations
 
@@ -9,14 +9,19 @@
 if TYPE_CHECKING:
     from rushmux.gateway.client_connection import ClientConnection
 
-FIRST_COMMAND_TIMEOUT = 1.6
-"""Seconds until a connection that sent no complete command is closed: 3 are allowed."""
+COMMAND_TIMEOUT = 1.6
+"""Seconds a client may take to send a complete command; the platform's limit is 3."""
 
 
 def enforce_timeouts(client: ClientConnection, now: float, idle_timeout: float) -> None:
-    """Ends a connection whose client is silent, idle for `idle_timeout` seconds or does not read.
+    """Closes the connection if one of its timeouts has expired.
 
-    The sockets must have been read just now: a connection closed over a command not read loses it.
+    Call it right after the sockets were read: closing a connection loses any unread command on it.
+
+    Args:
+        client: The connection to check.
+        now: The event loop's time.
+        idle_timeout: Seconds the connection may be idle.
     """
     transport = client.transport
     if transport.is_closing() or not client.is_open:
@@ -31,14 +36,14 @@
         and now - client.last_active_at > idle_timeout
         and not transport.get_write_buffer_size()
     ):
-        # Its last reply was sent long ago: nothing is cut off.
+        # All replies were sent long ago, so a plain close loses nothing.
         transport.close()
 
 
 def _is_command_overdue(client: ClientConnection, now: float) -> bool:
-    if client.pending_replies or client.has_untaken_commands:
+    if client.pending_replies or client.has_unprocessed_commands:
         return False
     if client.has_sent_command and not client.reader.has_partial_command():
         return False
     waiting_since = client.last_active_at if client.has_sent_command else client.connected_at
-    return now - waiting_since > FIRST_COMMAND_TIMEOUT
+    return now - waiting_since > COMMAND_TIMEOUT
--- a/rushmux/gateway/command_dispatcher.py
+++ b/rushmux/gateway/command_dispatcher.py
@@ -1,4 +1,4 @@
-"""What each command of a client leads to: an operation, a greeting's reply or an error."""
+"""Dispatches clients' commands to operations, fixed replies or errors."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 
 class CommandDispatcher:
-    """Validates commands and hands operations on.
+    """Validates commands and submits operations.
 
     Attributes:
-        on_request: Called as `on_request(command, pending_reply)`; may raise InvalidCommandError.
+        on_request: Called as `on_request(command, pending_reply)` to submit an operation; may raise
+            InvalidCommandError.
     """
 
     def __init__(
@@ -36,7 +37,7 @@
         self.on_request = on_request
 
     def dispatch(self, arguments: list[bytes], client: ClientConnection) -> PendingReply:
-        """Returns the pending reply of one command, which may be complete at once."""
+        """Executes one command and returns its pending reply, which may be complete already."""
         name = arguments[0].upper()
         if name in (commands.READ, commands.WRITE):
             return self._dispatch_operation(arguments, client)
@@ -44,7 +45,7 @@
             return PendingReply(client, PONG)
         if name in (b"CLIENT", b"SELECT"):
             return PendingReply(client, OK)
-        client.protocol_errors += name != b"HELLO"  # sent by libraries that can do without
+        client.protocol_errors += name != b"HELLO"  # client libraries send HELLO but work without it
         return PendingReply(client, UNKNOWN_COMMAND)
 
     def _dispatch_operation(self, arguments: list[bytes], client: ClientConnection) -> PendingReply:
@@ -59,8 +60,8 @@
         try:
             self.on_request(commands.parse_command(arguments, self.config), pending)
             stats.accepted_operations += 1
-        except InvalidCommandError as invalid:
+        except InvalidCommandError as error:
             stats.invalid_commands += 1
             client.protocol_errors += 1
-            pending.reply = encode_error(f"ERR {invalid}")
+            pending.reply = encode_error(f"ERR {error}")
         return pending
--- a/rushmux/gateway/commands.py
+++ b/rushmux/gateway/commands.py
@@ -1,6 +1,6 @@
-"""Validates a client's command completely, before the scheduler or a node sees it.  No I/O.
+"""Validates clients' commands completely before they reach the scheduler or a node, without I/O.
 
-A node rejects what no usual client sends, and that costs more than the one request.
+Nodes reject invalid commands, and such a rejection costs more than the one request.
 """
 
 import re
@@ -13,9 +13,9 @@
 
 READ, WRITE = b"BLK.READ", b"BLK.WRITE"
 READ_ARGUMENTS = 4
-"""Name, block, id and options."""
+"""Name, block, operation id and options."""
 WRITE_ARGUMENTS = 5
-"""The same and the data."""
+"""The arguments of a read, and the data."""
 HEX_ID = re.compile(rb"[0-9a-f]{16}")
 OPTIONS = re.compile(
     rb"c=([^,=]{1,64}),t=([^,=]{1,64}),d=([0-9]{1,7})(?:,k=([0-9a-f]{16}))?(,r=1)?"
@@ -23,13 +23,12 @@
     rb",shard=(-1|[0-9]{1,5}),hosts=([0-9]{1,4})"
 )
 TIME_LEFT_GROUP = 3
-"""The group of OPTIONS that holds the time left."""
-MILLISECONDS = 1000
-"""In a second."""
+"""Index of the group of OPTIONS that holds the time left."""
+MILLISECONDS_PER_SECOND = 1000
 
 
 class Command(NamedTuple):
-    """A valid command."""
+    """A validated read or write."""
 
     op_id: str
     request_class: str
@@ -41,33 +40,37 @@
     gateway_count: int
     is_retry: bool
     time_left: float
-    """Seconds that its client waits for it."""
+    """Seconds for which the client waits for the reply."""
     name: bytes
     block: bytes
     options_before_time: bytes
-    """The options that go to a node, up to the time left in them."""
+    """The part of the options before the time left, which is replaced for each attempt."""
     options_after_time: bytes
     data: tuple[bytes, ...]
-    """A write's data; empty for a read."""
+    """The data of a write; empty for a read."""
 
     def build_arguments(self, milliseconds: int) -> list[bytes]:
-        """Returns the command's arguments for a node, which will be waited for that long."""
+        """Returns the arguments to send to a node, with `milliseconds` as the time left."""
         options = b"%b%d%b" % (self.options_before_time, milliseconds, self.options_after_time)
         return [self.name, self.block, self.op_id.encode(), options, *self.data]
 
 
 def parse_command(arguments: list[bytes], config: GatewayConfig) -> Command:
-    """Returns the command of a client's arguments; InvalidCommandError."""
+    """Parses and validates the arguments of a read or write.
+
+    Raises:
+        InvalidCommandError: The command is malformed or does not fit the configuration.
+    """
     name = arguments[0].upper()
     if len(arguments) != (WRITE_ARGUMENTS if name == WRITE else READ_ARGUMENTS):
         raise InvalidCommandError(f"{len(arguments)} words", len(arguments))
     _, block, op_id, options = arguments[:READ_ARGUMENTS]
     if not HEX_ID.fullmatch(block) or not HEX_ID.fullmatch(op_id):
         raise InvalidCommandError("the piece and the id are 16 hex digits", (block, op_id))
-    found = OPTIONS.fullmatch(options)
-    if not found:
+    match = OPTIONS.fullmatch(options)
+    if not match:
         raise InvalidCommandError("the list of names and values can't be read", options)
-    request_class, plan, time_left, key, retry_mark, volume, units, cell, gateway_count = found.groups()
+    request_class, plan, time_left, key, retry_mark, volume, units, cell, gateway_count = match.groups()
     milliseconds = int(time_left)
     command = Command(
         op_id.decode(),
@@ -79,11 +82,11 @@
         int(cell),
         int(gateway_count),
         bool(retry_mark),
-        milliseconds / MILLISECONDS,
+        milliseconds / MILLISECONDS_PER_SECOND,
         name,
         block,
-        options[: found.start(TIME_LEFT_GROUP)],
-        options[found.end(TIME_LEFT_GROUP) :],
+        options[: match.start(TIME_LEFT_GROUP)],
+        options[match.end(TIME_LEFT_GROUP) :],
         tuple(arguments[READ_ARGUMENTS:]),
     )
     _validate_class(command, key is not None, config)
@@ -107,7 +110,7 @@
 def _validate_figures(command: Command, milliseconds: int, config: GatewayConfig) -> None:
     settings = config.settings
     time_limit = settings.request_classes[command.request_class].deadline + settings.round_interval
-    if not 0 < milliseconds * TICKS_PER_SECOND // MILLISECONDS <= time_limit:
+    if not 0 < milliseconds * TICKS_PER_SECOND // MILLISECONDS_PER_SECOND <= time_limit:
         raise InvalidCommandError(f"a time of {milliseconds} ms", milliseconds)
     if not 0 < command.units <= settings.max_units:
         raise InvalidCommandError("a figure out of range", command.units)
--- a/rushmux/gateway/config.py
+++ b/rushmux/gateway/config.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform hands a gateway: a file of JSON, checked as far as it is used."""
+"""The gateway's JSON configuration file, provided by the platform; only the values in use are checked."""
 
 from typing import NamedTuple
 
@@ -16,59 +16,66 @@
 from rushmux.settings.platform import scheduler_settings_of
 
 MAX_FILE_BYTES = 8 << 20
-"""A list of thousands of nodes has its place in it."""
-NANOSECONDS = 1_000_000_000
-"""In a second."""
+"""Large enough for an endpoint list of thousands of nodes."""
+NANOSECONDS_PER_SECOND = 1_000_000_000
 
 
 class GatewayConfig(NamedTuple):
-    """What a gateway is told at its start; times in seconds."""
+    """Configuration of a gateway; times are in seconds."""
 
     listen: SocketAddress
     discovery: SocketAddress
     seed: int
     max_sockets: int
-    """Descriptors of the process."""
+    """Limit of the process's file descriptors."""
     known_endpoints: list[DiscoveredEndpoint]
-    """The last endpoint list that the platform knew; it may be old."""
+    """The last endpoint list known to the platform; it may be outdated."""
     settings: SchedulerSettings
     shard_count: int
     max_operations: int
-    """Operations in flight at a time."""
+    """Limit of operations in flight."""
     connect_timeout: float
     idle_timeout: float
-    """Until a node closes an idle connection."""
+    """Time after which a node closes an idle connection."""
     allows_retry_mark: bool
     """Whether clients mark their retries."""
     is_write: dict[str, bool]
-    """By request class: whether it changes data."""
+    """Whether a request class changes data, by class name."""
 
 
 def load_config(path: str) -> GatewayConfig:
-    """Reads a file; ConfigError where it can't be read, is torn or lacks what is needed."""
+    """Reads a configuration file.
+
+    Raises:
+        ConfigError: The file can't be read, is truncated or lacks a required key.
+    """
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise ConfigError(f"the file cannot be read: {error.strerror}", path) from error
+        raise ConfigError(f"cannot read the file: {error.strerror}", path) from error
     if len(data) > MAX_FILE_BYTES:
-        raise ConfigError(f"the file holds over {MAX_FILE_BYTES} bytes", path)
+        raise ConfigError(f"the file is larger than {MAX_FILE_BYTES} bytes", path)
     return parse_config(data)
 
 
 def parse_config(data: bytes) -> GatewayConfig:
-    """Returns a file's content; ConfigError."""
+    """Parses the content of a configuration file.
+
+    Raises:
+        ConfigError: The content is not valid JSON, or a value is missing or invalid.
+    """
     try:
-        return _config_of(orjson.loads(data))
+        return _build_config(orjson.loads(data))
     except orjson.JSONDecodeError as error:
-        raise ConfigError(f"the file is no JSON: {error}") from error
+        raise ConfigError(f"the file is not valid JSON: {error}") from error
     except KeyError as error:
-        raise ConfigError(f"the file lacks {error}", *error.args) from error
+        raise ConfigError(f"the file lacks the key {error}", *error.args) from error
     except MALFORMED_JSON_ERRORS as error:
-        raise ConfigError(f"the file has a value that makes no sense: {error}") from error
+        raise ConfigError(f"the file holds an invalid value: {error}") from error
 
 
-def _config_of(raw: dict) -> GatewayConfig:
+def _build_config(raw: dict) -> GatewayConfig:
     env = raw["settings"]
     limits, extra, known = env["Limits"], env["Extra"], raw.get("known") or {}
     return GatewayConfig(
@@ -80,11 +87,11 @@
         settings=scheduler_settings_of(env),
         shard_count=extra["SlotsTotal"],
         max_operations=limits["MostHeld"],
-        connect_timeout=limits["DialTimeout"] / NANOSECONDS,
-        idle_timeout=limits["ConnIdle"] / NANOSECONDS,
+        connect_timeout=limits["DialTimeout"] / NANOSECONDS_PER_SECOND,
+        idle_timeout=limits["ConnIdle"] / NANOSECONDS_PER_SECOND,
         allows_retry_mark=bool(env.get("ClientHabits", {}).get("MarksRetry")),
         is_write={
             row["Name"]: bool(writes)
-            for row, writes in zip(env["Classes"], extra["ChangesData"], strict=False)  # as far as both go
+            for row, writes in zip(env["Classes"], extra["ChangesData"], strict=False)  # lengths may differ
         },
     )
--- a/rushmux/gateway/errors.py
+++ b/rushmux/gateway/errors.py
@@ -1,13 +1,13 @@
-"""Errors of the gateway, each with the value that caused it."""
+"""Exceptions of the gateway."""
 
 from typing import Any
 
 
 class GatewayError(Exception):
-    """Base of the gateway's errors: a sentence for an operator.
+    """Base class of the gateway's errors.
 
     Attributes:
-        value: What was found; None where nothing was.
+        value: The offending value, or None.
     """
 
     def __init__(self, message: str, value: Any = None):
@@ -16,16 +16,16 @@
 
 
 class InvalidCommandError(GatewayError):
-    """A client's command that no usual client sends; its message goes to the client."""
+    """A client's command is invalid; the message is sent to the client."""
 
 
 class ConfigError(GatewayError):
-    """A configuration file that can't be used."""
+    """The configuration file can't be used."""
 
 
 class InvalidAddressError(GatewayError, ValueError):
-    """A text that is no address and port."""
+    """A text is not a valid `host:port` address."""
 
 
 class InvalidEndpointError(GatewayError, ValueError):
-    """A row of the endpoint list that makes no sense."""
+    """A row of the endpoint list is invalid."""
--- a/rushmux/gateway/event_loop.py
+++ b/rushmux/gateway/event_loop.py
@@ -1,13 +1,13 @@
-"""Order of calls within the event loop."""
+"""Scheduling of callbacks relative to socket polling."""
 
 import asyncio
 from collections.abc import Callable
 
 
 def call_after_polling(loop: asyncio.AbstractEventLoop, callback: Callable, *arguments) -> None:
-    """Calls `callback` once everything that is in a socket by now has been read.
+    """Calls `callback` after all data that has already arrived on the sockets was read.
 
-    When the process has stood still, the loop runs its timers before it looks at any socket; a timer that
-    judges clients by their silence must wait for that look.
+    After the process was suspended, the loop may run expired timers before it polls the sockets. A timer
+    that closes silent clients must run after the poll, or it misses the data they sent.
     """
-    loop.call_soon(loop.call_soon, callback, *arguments)  # the loop polls the sockets between the two
+    loop.call_soon(loop.call_soon, callback, *arguments)  # the loop polls the sockets between the two calls
--- a/rushmux/gateway/eviction.py
+++ b/rushmux/gateway/eviction.py
@@ -1,4 +1,4 @@
-"""Which clients lose their connections where places for clients are short."""
+"""Selects the client connections to close as the number of clients nears its limit."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
     from rushmux.gateway.client_connection import ClientConnection
 
 IDLE_TIMEOUT = 30.0
-"""Seconds after which a connection with no pending reply is closed."""
+"""Seconds after which an idle connection is closed."""
 SHORT_IDLE_TIMEOUT = 2.0
-"""The same where places are short: the least that the platform's protocol allows."""
-SHORTAGE_RATIO = 0.5
-"""Of the places for clients: they are short above it."""
-NEWCOMER_GRACE = 0.3
-"""Seconds that a new connection has at least to send a command before another takes its place."""
+"""Idle timeout at high occupancy: the minimum that the platform's protocol allows."""
+HIGH_OCCUPANCY_RATIO = 0.5
+"""Share of the client limit above which `SHORT_IDLE_TIMEOUT` applies."""
+NEW_CLIENT_GRACE = 0.3
+"""Seconds a new connection has to start its first command before it may be evicted."""
 
 
 def idle_timeout(client_count: int, max_clients: int) -> float:
-    """Returns the seconds that a connection may be idle.
+    """Returns the idle timeout in seconds.
 
-    Clients that ask once and stay would hold every place; so the time is cut before the last is taken.
+    It is shortened before the limit is reached, since idle clients could otherwise use up all connections.
     """
-    return SHORT_IDLE_TIMEOUT if client_count > max_clients * SHORTAGE_RATIO else IDLE_TIMEOUT
+    return SHORT_IDLE_TIMEOUT if client_count > max_clients * HIGH_OCCUPANCY_RATIO else IDLE_TIMEOUT
 
 
 def choose_victim(clients: Iterable[ClientConnection], now: float) -> ClientConnection | None:
-    """Returns the client to evict where every place is taken; None: all have to stay for the moment.
+    """Returns the client to evict when the client limit is exceeded, or None if none may be evicted now.
 
-    First goes a client that sent nothing for `NEWCOMER_GRACE`; then one that never requested an operation;
-    then the one idle for longest, past the time that the platform grants.  A crowd that greets and stays
-    would otherwise hold every place, and the usual clients find none.
+    In order of preference: a client that sent nothing for `NEW_CLIENT_GRACE`, an idle client that never
+    requested an operation, and the client idle for longest, if for more than `SHORT_IDLE_TIMEOUT`. Clients
+    that only send PING and stay connected could otherwise lock out those that request operations.
 
-    The sockets must have been read just now: a connection closed over a command not read loses it.
+    Call it right after the sockets were read: closing a connection loses any unread command on it.
     """
     candidates = [client for client in clients if client.is_open and not client.transport.is_closing()]
     silent = next((client for client in candidates if client.is_silent()), None)
-    if silent is not None and now - silent.connected_at >= NEWCOMER_GRACE:
+    if silent is not None and now - silent.connected_at >= NEW_CLIENT_GRACE:
         return silent
     return min(
         (client for client in candidates if _may_be_evicted_idle(client, now)),
--- a/rushmux/gateway/lingering_close.py
+++ b/rushmux/gateway/lingering_close.py
@@ -1,7 +1,7 @@
-"""Lingering close: a connection ends for writing first and is closed a little later.
+"""Lingering close: shuts down the sending side of a connection and closes the socket later.
 
-Closed with bytes unread, a connection is reset by the system, and the client may lose the last replies with
-it.  So nothing more is sent, and what the client still sends keeps the connection open, within bounds.
+The system resets a connection that is closed with unread input, and the client may then lose the last
+replies. The socket therefore stays open while the client still sends or reads, for a bounded time.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
     from rushmux.gateway.client_connection import ClientConnection
 
 LINGER_TIME = 0.25
-"""Seconds without a byte after which a lingering close ends."""
+"""Seconds without input after which the socket is closed."""
 MAX_LINGER_TIME = 1.0
-"""Seconds that it takes at most: a client that sends on and on is cut off."""
+"""Seconds after which the socket is closed even if the client keeps sending."""
 UNREAD_REPLIES_TIMEOUT = 3.0
-"""Seconds that replies may be unread: a client that reads nothing for so long counts as gone."""
+"""Seconds that replies may stay unread before the client counts as gone."""
 
 
 class LingeringClose:
-    """The lingering close of one client's connection; it starts at once.
+    """The lingering close of one client connection, started by the constructor.
 
     Attributes:
-        last_input_at: The loop's time at which the client last sent something.
+        last_input_at: Event loop time at which the client last sent data.
     """
 
     def __init__(self, connection: ClientConnection):
@@ -41,7 +41,7 @@
         self.loop.call_later(LINGER_TIME, call_after_polling, self.loop, self._check)
 
     def _check(self) -> None:
-        # A large reply that is still being read must not be cut off.
+        # Don't truncate a large reply that the client is still reading.
         transport = self.connection.transport
         if (self._has_unread_replies() or self._is_receiving()) and not transport.is_closing():
             self._schedule_check()
--- a/rushmux/gateway/listener.py
+++ b/rushmux/gateway/listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections and keeps them, within the places that there are for clients."""
+"""Accepts client connections and enforces the limit on their number."""
 
 from __future__ import annotations
 
@@ -17,37 +17,38 @@
 from rushmux.gateway.paused_clients import PausedClients
 
 BACKLOG = 1024
-"""Connections that the system queues until they are accepted: hundreds come at once."""
+"""Length of the system's accept queue: hundreds of connections may come at once."""
 ACCEPTS_PER_TURN = 16
-"""Connections accepted in one turn of the loop: a flood must not starve it."""
-MARGIN = 0.1
-"""Of the places, past them, for newcomers that are told BUSY and for connections that linger."""
+"""Connections accepted per iteration of the event loop, so that a flood does not starve it."""
+OVERFLOW_RATIO = 0.1
+"""Connections above the client limit, as a share of it, for clients to be told BUSY and lingering closes."""
 SWEEP_INTERVAL = 0.1
-"""Seconds between two checks of who is silent, idle or does not read."""
+"""Seconds between two checks of the clients' timeouts."""
 
 
 @dataclass(slots=True)
 class ListenerStats:
-    """Counts for the log, from the start."""
+    """Counters for the log, from the start of the process."""
 
     accepted_operations: int = 0
     invalid_commands: int = 0
     rejected_clients: int = 0
-    """Evicted, or told BUSY at their first operation."""
+    """Clients evicted, or told BUSY at their first operation."""
     silent_clients: int = 0
 
 
 class Listener:
-    """All clients' connections.
+    """Accepts and tracks all client connections.
 
-    Whatever the system has accepted has to be answered once a complete command was written to it.  So each
-    connection has one owner from the system's queue on: `joining` until it is added, then `clients`.
+    A complete command on a connection that the system has accepted must be answered. Each connection is
+    therefore tracked from the accept queue on: in `setup_tasks` until it is set up, then in `clients`.
 
     Attributes:
-        clients: All connections that are up.
-        joining: Tasks of connections that were accepted and are not up yet.
-        read_ahead_bytes: Bytes of commands that wait to be taken, of all clients.
-        is_accepting_paused: Whether newcomers wait in the system's queue until a place is free.
+        clients: All established connections.
+        setup_tasks: Tasks of accepted connections that are not set up yet.
+        overflow_limit: Connections allowed above `max_clients`.
+        read_ahead_bytes: Bytes of unprocessed commands, over all clients.
+        is_accepting_paused: Whether new connections stay in the accept queue because the limit is reached.
     """
 
     def __init__(
@@ -59,23 +60,23 @@
         on_request: Callable[[Command, PendingReply], None],
         on_client_gone: Callable[[str], None],
     ):
-        """Makes a listener that is not open yet.
+        """Creates a listener that is not open yet.
 
         Args:
             loop: The event loop.
-            config: What commands are validated against.
-            max_clients: Places for clients.
-            on_request: Called as `on_request(command, pending_reply)` to have an operation done.
-            on_client_gone: Called with the id of each operation whose client went away.
+            config: Configuration that commands are validated against.
+            max_clients: Limit of client connections.
+            on_request: Called as `on_request(command, pending_reply)` to submit an operation.
+            on_client_gone: Called with the id of each unanswered operation of a client that disconnected.
         """
         self.loop = loop
         self.max_clients = max_clients
-        self.margin = max(2, int(max_clients * MARGIN))
+        self.overflow_limit = max(2, int(max_clients * OVERFLOW_RATIO))
         self.on_client_gone = on_client_gone
         self.dispatcher = CommandDispatcher(self, config, on_request)
         self.stats = ListenerStats()
         self.clients: dict[ClientConnection, bool] = {}
-        self.joining: dict[asyncio.Task, bool] = {}
+        self.setup_tasks: dict[asyncio.Task, bool] = {}
         self.paused_clients = PausedClients(loop)
         self.read_ahead_bytes = 0
         self.is_shutting_down = False
@@ -90,7 +91,11 @@
     # Accepting.
 
     async def open(self, host: str, port: int) -> None:
-        """Listens on an address; OSError."""
+        """Starts to listen.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         self.listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listening_socket.setblocking(False)
@@ -105,18 +110,17 @@
             self.loop.add_reader(self.listening_socket, self._accept)
 
     def _is_full(self) -> bool:
-        # Newcomers, those that join counted, would take the descriptors that nodes and discovery need.  Past
-        # this bound they wait in the system's queue.
-        return len(self.clients) + len(self.joining) >= self.max_clients + self.margin
+        # Above this limit connections wait in the accept queue: nodes and discovery need descriptors too.
+        return len(self.clients) + len(self.setup_tasks) >= self.max_clients + self.overflow_limit
 
     def is_over_capacity(self) -> bool:
-        """Returns whether there are more clients than places."""
+        """Returns whether the client limit is exceeded."""
         return len(self.clients) > self.max_clients
 
-    def _accept(self, limit: int = ACCEPTS_PER_TURN, *, exceed_places: bool = False) -> bool:
-        # Accepts connections of the system's queue; returns whether it was emptied.
+    def _accept(self, limit: int = ACCEPTS_PER_TURN, *, ignore_limit: bool = False) -> bool:
+        # Accepts connections from the system's queue; returns whether the queue is empty.
         for _ in range(limit):
-            if self._is_full() and not exceed_places:
+            if self._is_full() and not ignore_limit:
                 self.loop.remove_reader(self.listening_socket)
                 self.is_accepting_paused = True
                 return False
@@ -130,30 +134,30 @@
                 self._on_accept_failed(error)
                 return False
             sock.setblocking(False)
-            self._join(sock)
+            self._set_up_connection(sock)
         return False
 
     def _on_accept_failed(self, error: OSError) -> None:
-        # Out of descriptors: the queue would be asked again at full speed.
+        # Out of descriptors, for instance. Accepting pauses, or the loop would retry without a break.
         self.loop.remove_reader(self.listening_socket)
         self.loop.call_later(SWEEP_INTERVAL, self._resume_accepting)
-        self.loop.call_exception_handler({"message": "no connection can be taken", "exception": error})
+        self.loop.call_exception_handler({"message": "accepting a connection failed", "exception": error})
 
-    def _join(self, sock: socket.socket) -> None:
+    def _set_up_connection(self, sock: socket.socket) -> None:
         task = self.loop.create_task(self.loop.connect_accepted_socket(lambda: ClientConnection(self), sock))
-        self.joining[task] = True
-        task.add_done_callback(self._on_joined)
+        self.setup_tasks[task] = True
+        task.add_done_callback(self._on_set_up)
 
-    def _on_joined(self, task: asyncio.Task) -> None:
-        del self.joining[task]
+    def _on_set_up(self, task: asyncio.Task) -> None:
+        del self.setup_tasks[task]
         if not task.cancelled():
-            task.exception()  # retrieved: its client went away before it was added
-        self._on_place_free()
+            task.exception()  # marks it as retrieved; the client disconnected during the setup
+        self._resume_accepting_if_below_limit()
 
     # Clients.
 
     def add_client(self, client: ClientConnection) -> None:
-        """A connection is up."""
+        """Registers an established connection."""
         self.clients[client] = True
         if self.is_shutting_down:
             client.close_when_quiet()
@@ -161,18 +165,17 @@
             call_after_polling(self.loop, self._evict)
 
     def remove_client(self, client: ClientConnection) -> None:
-        """A connection has ended."""
+        """Unregisters a connection that has ended."""
         self.clients.pop(client, None)
         self.paused_clients.discard(client)
-        self._on_place_free()
+        self._resume_accepting_if_below_limit()
 
-    def _on_place_free(self) -> None:
+    def _resume_accepting_if_below_limit(self) -> None:
         if self.is_accepting_paused and not self._is_full():
             self._resume_accepting()
 
     def _evict(self) -> None:
-        # Where nobody can be evicted, newcomers stay for the moment: their first operation gets BUSY and ends
-        # the connection.
+        # If no client can be evicted, new ones stay for now; their first operation gets BUSY and a close.
         if not self.is_over_capacity():
             return
         victim = eviction.choose_victim(self.clients, self.loop.time())
@@ -180,7 +183,7 @@
             self.stats.rejected_clients += 1
             del self.clients[victim]
             victim.transport.abort()
-            self._on_place_free()
+            self._resume_accepting_if_below_limit()
 
     def _schedule_sweep(self) -> None:
         self.loop.call_later(SWEEP_INTERVAL, call_after_polling, self.loop, self._sweep)
@@ -197,13 +200,13 @@
     # Shutdown.
 
     def begin_shutdown(self) -> None:
-        """From now on a connection ends once it was quiet with no pending reply; commands are still taken."""
+        """Closes each connection once it is quiet with no pending reply; until then it accepts commands."""
         self.is_shutting_down = True
         for client in self.clients:
             client.close_when_quiet()
 
     def finish_all(self) -> None:
-        """Reads no more than is in the sockets now; each connection ends with its pending replies."""
+        """Stops reading after what the sockets hold now; connections close after their pending replies."""
         call_after_polling(self.loop, self._finish_clients)
 
     def _finish_clients(self) -> None:
@@ -213,21 +216,22 @@
                 client.flush()
 
     def close_if_drained(self) -> bool:
-        """Closes once every connection has ended and none is in the system's queue; returns whether so."""
-        if self.clients or self.joining:
+        """Closes the listener if no connection is left, the accept queue included; returns whether it did."""
+        if self.clients or self.setup_tasks:
             return False
-        if self.listening_socket is not None and not (self._accept() and not self.joining):
+        if self.listening_socket is not None and not (self._accept() and not self.setup_tasks):
             return False
         self.close()
         return True
 
     def close(self) -> None:
-        """Accepts no more connections.
+        """Stops listening.
 
-        Those that the system has queued are accepted first: it would reset them, with the commands on them.
+        Connections in the accept queue are accepted first: the system would reset them and lose their
+        commands.
         """
         if self.listening_socket is not None:
-            self._accept(BACKLOG, exceed_places=True)
+            self._accept(BACKLOG, ignore_limit=True)
             self.loop.remove_reader(self.listening_socket)
             self.listening_socket.close()
             self.listening_socket = None
--- a/rushmux/gateway/paused_clients.py
+++ b/rushmux/gateway/paused_clients.py
@@ -1,4 +1,4 @@
-"""Watches clients whose sockets are not read, since their end would stay unseen."""
+"""Detects closed connections among the clients whose sockets are not being read."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
     from rushmux.gateway.client_connection import ClientConnection
 
 CHECK_INTERVAL = 0.05
-"""Seconds between two checks: nothing may begin for a client from 0.1 s after its end on."""
+"""Seconds between checks: no attempt may start more than 0.1 s after its client closed the connection."""
 TCP_CLOSE_WAIT = 8
-"""State of a connection whose client has ended its sending (first byte of TCP_INFO)."""
+"""TCP state, the first byte of TCP_INFO, after the peer has shut down its sending side."""
 
 
 class PausedClients:
-    """The clients whose sockets are not read; those that have gone are aborted."""
+    """Clients whose reading is paused; aborts those whose peer has closed the connection."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
         self.loop = loop
         self.clients: dict[ClientConnection, bool] = {}
 
     def add(self, client: ClientConnection) -> None:
-        """A client is not read any more."""
+        """Starts watching a client whose reading was paused."""
         if not self.clients:
             self.loop.call_later(CHECK_INTERVAL, self._check)
         self.clients[client] = True
 
     def discard(self, client: ClientConnection) -> None:
-        """A client is read again, or its connection ended."""
+        """Stops watching a client that is read again or whose connection ended."""
         self.clients.pop(client, None)
 
     def _check(self) -> None:
@@ -42,10 +42,10 @@
 
 
 def has_peer_closed(transport: asyncio.Transport) -> bool:
-    """Returns whether the system knows that the peer closed or reset a connection that is not read.
+    """Returns whether the system reports that the peer closed or reset the connection.
 
-    A platform that does not tell shows the state of a socket that was never connected.  Counted as a reset,
-    that would cut off good clients; so a reset is known by the socket's error alone.
+    Only the socket's error counts as a reset, not the TCP state: platforms without TCP state information
+    report that of a socket that was never connected, and healthy clients would be cut off.
     """
     try:
         sock = transport.get_extra_info("socket")
@@ -58,5 +58,5 @@
         AttributeError,
         IndexError,
         TypeError,
-    ):  # a platform without TCP_INFO, or a closed socket
+    ):  # TCP_INFO is not available, or the socket is closed
         return False
--- a/rushmux/gateway/process.py
+++ b/rushmux/gateway/process.py
@@ -1,4 +1,8 @@
-"""The life of a gateway's process: start, reload at SIGHUP, graceful shutdown at SIGTERM."""
+"""Lifecycle of the gateway process: start, reload on SIGHUP, graceful shutdown on SIGTERM.
+
+The platform may send SIGKILL once the longest deadline of the request classes (`MAX_DRAIN_TIME` at most) and
+`KILL_MARGIN` have passed since SIGTERM.
+"""
 
 from __future__ import annotations
 
@@ -15,32 +19,34 @@
 from rushmux.scheduling.driver import TICKS_PER_SECOND
 
 ACCEPT_TIME = 0.5
-"""Seconds after SIGTERM in which new connections are still accepted: the process ends no sooner."""
-MAX_COUNTED_DEADLINE = 3.0
-"""Seconds: the most that the platform counts of the longest deadline."""
+"""Seconds after SIGTERM for which connections are accepted at least; the process does not exit earlier."""
+MAX_DRAIN_TIME = 3.0
+"""Seconds of the longest deadline that the platform counts at most."""
 KILL_MARGIN = 0.7
-"""Seconds past that until SIGKILL may come."""
+"""Seconds after the drain time until SIGKILL may come."""
 BEGIN_SHUTDOWN_BEFORE_KILL = 0.8
-"""Seconds before SIGKILL from which connections end as soon as they are quiet.
+"""Seconds before SIGKILL from which connections are closed once they are quiet.
 
-What comes just before has the usual time of a reply until it is aborted.
+This leaves operations that arrive just before it the usual time of a reply before they are aborted.
 """
 ABORT_BEFORE_KILL = 0.4
-"""Seconds before SIGKILL when operations get their final answer; no connection is accepted after."""
+"""Seconds before SIGKILL at which all operations are answered and the listener closes."""
 FINISH_BEFORE_KILL = 0.15
-"""Seconds before SIGKILL when nothing more is read: for the way of the last replies."""
+"""Seconds before SIGKILL at which reading stops, which leaves time to transmit the last replies."""
 DRAIN_CHECK_INTERVAL = 0.05
-"""Seconds between two checks whether everything is answered."""
+"""Seconds between checks whether all connections have ended."""
 EXIT_OK = 0
-EXIT_UNUSABLE = 2
-"""The configuration can't be used, or the address not be listened on."""
+EXIT_STARTUP_FAILED = 2
+"""The configuration is unusable, or the address can't be bound."""
 
 
 class SignalEvents:
-    """The process's signals as events.
+    """Exposes the process's signals as asyncio events.
 
     Attributes:
-        stop_requested_at: The loop's time of the first SIGTERM or SIGINT.
+        stop: Set by SIGTERM and SIGINT.
+        reload: Set by SIGHUP.
+        stop_requested_at: Event loop time of the first SIGTERM or SIGINT.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
@@ -50,9 +56,9 @@
         self.stop_requested_at: float | None = None
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
-            # The loop's handler runs behind a turn that may be long; shutdown is timed from the signal.
+            # The loop's handler may run late, after a long callback; the shutdown is timed from the signal.
             signal.signal(number, self._record_stop)
-            signal.siginterrupt(number, False)  # as the loop has it: no system call is interrupted
+            signal.siginterrupt(number, False)  # as `add_signal_handler` does: system calls are restarted
         loop.add_signal_handler(signal.SIGHUP, self.reload.set)
 
     def _record_stop(self, *_) -> None:
@@ -61,11 +67,11 @@
 
 
 async def serve(config_path: str) -> int:
-    """Runs the gateway of a configuration file until SIGTERM; returns the exit code."""
+    """Runs a gateway until SIGTERM or SIGINT and returns the process's exit code."""
     loop = asyncio.get_running_loop()
     signals = SignalEvents(loop)
     log = BoundedLogger(loop.time, os.environ.get("NODE_NAME", "gateway"))
-    # By default the loop prints an exception of a timer itself, past the log's bound.
+    # The loop's default handler prints exceptions of callbacks directly, without the log's rate limit.
     loop.set_exception_handler(
         lambda _, context: log.error(
             "event_loop.fault", what=context["message"], fault=repr(context.get("exception"))
@@ -75,12 +81,12 @@
         server = GatewayServer(load_config(config_path), time.time() - loop.time(), loop, log)
     except ConfigError as error:
         log.error("config.rejected", file=config_path or "(NODE_CONFIG is not set)", why=error)
-        return EXIT_UNUSABLE
+        return EXIT_STARTUP_FAILED
     exit_code = await _open(server, signals, log)
     if exit_code is not None:
         return exit_code
     gc.collect()
-    gc.freeze()  # what stays for good is not searched again
+    gc.freeze()  # excludes the permanent objects from later collections
     reloads = loop.create_task(_reload_on_signal(server, signals, config_path, log))
     await signals.stop.wait()
     await _shut_down(server, signals.stop_requested_at, log)
@@ -93,18 +99,18 @@
 
 
 async def _open(server: GatewayServer, signals: SignalEvents, log: BoundedLogger) -> int | None:
-    # Returns the exit code where the process ends before it serves.
+    # Returns the exit code if the process has to end before it serves, else None.
     opening = server.loop.create_task(server.open())
     stopping = server.loop.create_task(signals.stop.wait())
     await asyncio.wait([opening, stopping], return_when=asyncio.FIRST_COMPLETED)
-    if not opening.done():  # stopped before it was ready: no client has been accepted
+    if not opening.done():  # stopped before the listener was open; there are no clients
         opening.cancel()
         log.info("gateway.stopped", taken=0, open=0)
         return EXIT_OK
     stopping.cancel()
     if isinstance(error := opening.exception(), OSError):
         log.error("listener.bind_failed", listen=server.config.listen, why=error)
-        return EXIT_UNUSABLE
+        return EXIT_STARTUP_FAILED
     opening.result()
     return None
 
@@ -117,9 +123,9 @@
         signals.reload.clear()
         try:
             server.reload(load_config(config_path))
-        except ConfigError as error:  # the old one stays in force
+        except ConfigError as error:  # the previous configuration stays in force
             log.error("config.rejected", file=config_path, why=error)
-        except Exception:  # whatever it is: this task would end with it, and no later file be loaded
+        except Exception:  # keeps this task running, so that later reloads still work
             log.exception("config.rejected", file=config_path)
 
 
@@ -129,7 +135,7 @@
     log.info("gateway.stopping", open=len(server.operations), clients=len(listener.clients))
     request_classes = server.settings.request_classes.values()
     longest = max(request_class.deadline for request_class in request_classes) / TICKS_PER_SECOND
-    killed_at = requested_at + min(MAX_COUNTED_DEADLINE, longest) + KILL_MARGIN
+    killed_at = requested_at + min(MAX_DRAIN_TIME, longest) + KILL_MARGIN
     loop.call_at(killed_at - BEGIN_SHUTDOWN_BEFORE_KILL, listener.begin_shutdown)
     loop.call_at(killed_at - ABORT_BEFORE_KILL, server.abort_all)
     loop.call_at(killed_at - FINISH_BEFORE_KILL, listener.finish_all)
--- a/rushmux/gateway/server.py
+++ b/rushmux/gateway/server.py
@@ -1,4 +1,4 @@
-"""One gateway on the platform: clients, nodes and discovery around the operation driver."""
+"""The gateway server: connects clients, nodes and discovery to the operation driver."""
 
 from __future__ import annotations
 
@@ -21,19 +21,18 @@
 from rushmux.scheduling.interface import Endpoint, EndpointState, OperationRequest, Ticks, UpdateKind
 
 RESERVED_SOCKETS = 24
-"""Descriptors for what is neither a client nor a node."""
+"""File descriptors reserved for everything but clients and nodes."""
 MIN_SHARED_SOCKETS = 16
-"""The least for clients and nodes, whatever the configuration says."""
-CLIENT_SOCKETS = 0.55
-"""Of the others, for clients: at most a third of all have operations in flight, and some are idle."""
-NODE_SOCKETS = 0.35
-"""Of the others, for nodes; the remainder is for connections that are just ending."""
+"""Minimum for clients and nodes together, whatever the configuration says."""
+CLIENT_SOCKET_RATIO = 0.55
+"""Clients' share of the rest: at most a third of all have operations in flight, and some are idle."""
+NODE_SOCKET_RATIO = 0.35
+"""Nodes' share of the rest; the remainder is for connections that are closing."""
 FIRST_LIST_TIMEOUT = 1.0
-"""Seconds that the first endpoint list is waited for: an agent that can answer does so at once."""
+"""Seconds to wait for the first endpoint list; a working discovery agent answers at once."""
 STATS_INTERVAL = 30.0
-"""Seconds between two lines on the traffic."""
-MILLISECONDS = 1000
-"""In a second."""
+"""Seconds between two log lines with the counters."""
+MILLISECONDS_PER_SECOND = 1000
 FAILED, BUSY = b"-ERR failed\r\n", b"-BUSY\r\n"
 
 
@@ -42,12 +41,12 @@
 
 
 class GatewayServer(OperationDriver):
-    """The scheduler, driven by the platform's protocol.
+    """Drives the scheduler by the platform's protocol.
 
     Attributes:
-        epoch: Unix time, in seconds, at which the loop's clock was 0.
-        known_states: State and start of each node as last passed to the scheduler.
-        is_stopping: Whether new operations get BUSY at once: the process is about to be ended.
+        epoch: Unix time, in seconds, at which the event loop's clock was 0.
+        known_states: State and start time of each node as last passed to the scheduler.
+        is_stopping: Whether new operations are answered BUSY at once because the process is about to end.
     """
 
     def __init__(self, config: GatewayConfig, epoch: float, loop: asyncio.AbstractEventLoop, log):
@@ -57,14 +56,14 @@
         shared_sockets = max(MIN_SHARED_SOCKETS, config.max_sockets - RESERVED_SOCKETS)
         self.pool = ConnectionPool(
             loop,
-            max_connections=int(shared_sockets * NODE_SOCKETS),
+            max_connections=int(shared_sockets * NODE_SOCKET_RATIO),
             connect_timeout=config.connect_timeout,
             idle_timeout=config.idle_timeout,
         )
         self.listener = Listener(
             loop,
             config,
-            int(shared_sockets * CLIENT_SOCKETS),
+            int(shared_sockets * CLIENT_SOCKET_RATIO),
             on_request=self.on_request,
             on_client_gone=self.client_gone,
         )
@@ -75,10 +74,13 @@
         self.is_stopping = False
 
     async def open(self) -> None:
-        """Waits for the first endpoint list, for a bounded time, and listens; OSError.
+        """Waits up to `FIRST_LIST_TIMEOUT` for the first endpoint list, then starts to listen.
 
-        Discovery's list counts as received from the first moment, and the configuration's may be old: an
-        operation accepted before would be sent to a node that drains.
+        The configuration's endpoint list may be outdated. Operations accepted before discovery has answered
+        could go to a draining node.
+
+        Raises:
+            OSError: The address can't be bound.
         """
         self._apply_endpoints(UpdateKind.RECOVERED, self.config.known_endpoints)
         self.discovery.start()
@@ -92,7 +94,7 @@
         self.loop.call_later(STATS_INTERVAL, self._log_stats_repeatedly)
 
     def log_stats(self) -> None:
-        """Logs what came and what became of it, counted from the start."""
+        """Logs the counters, which run from the start of the process."""
         stats = self.listener.stats
         self.log.info(
             "gateway.stats",
@@ -111,7 +113,11 @@
     # Clients.
 
     def on_request(self, command: Command, pending: PendingReply) -> None:
-        """Submits a client's operation; InvalidCommandError where its id is in use."""
+        """Submits a client's operation.
+
+        Raises:
+            InvalidCommandError: Its id is that of an operation in flight.
+        """
         if command.op_id in self.operations:
             raise InvalidCommandError("the id is that of an open request", command.op_id)
         if self.is_stopping or len(self.operations) >= self.config.max_operations:
@@ -124,7 +130,7 @@
             command.plan,
             command.volume,
             command.key,
-            0,  # time_left: set by the driver
+            0,  # time_left, which the driver sets
             command.units,
             command.cell,
             command.gateway_count,
@@ -138,7 +144,7 @@
         if answer is FinalAnswer.SUCCEEDED:
             pending.complete(encode_bulk(value))
         elif answer is FinalAnswer.SHED:
-            milliseconds = -(-retry_after * MILLISECONDS // TICKS_PER_SECOND)
+            milliseconds = -(-retry_after * MILLISECONDS_PER_SECOND // TICKS_PER_SECOND)
             pending.complete(b"-BUSY %d\r\n" % milliseconds if retry_after else BUSY)
         else:
             pending.complete(FAILED)
@@ -160,7 +166,7 @@
     # Discovery.
 
     def on_discovered(self, is_snapshot: bool, endpoints: Sequence[DiscoveredEndpoint]) -> None:
-        """Takes in a response of discovery."""
+        """Applies an endpoint list received from discovery."""
         self._apply_endpoints(UpdateKind.SNAPSHOT if is_snapshot else UpdateKind.DELTA, endpoints)
 
     def _apply_endpoints(self, kind: UpdateKind, endpoints: Sequence[DiscoveredEndpoint]) -> None:
@@ -184,7 +190,7 @@
         return Endpoint(endpoint.node, endpoint.cell, endpoint.zone, endpoint.state, online_since)
 
     def _online_since(self, started_at: float) -> Ticks:
-        # When a node started, on the scheduler's clock; 0: long ago.
+        # Converts a node's start time to the scheduler's clock; 0 if the node is past its warm-up.
         online_since = int((started_at - self.epoch) * TICKS_PER_SECOND)
         is_warming_up = started_at and self.now() - online_since < self.settings.warm_up_time
         return max(1, online_since) if is_warming_up else 0
@@ -192,23 +198,23 @@
     # Signals.
 
     def reload(self, config: GatewayConfig) -> None:
-        """Takes over a new configuration: where discovery is."""
+        """Applies a new configuration; only the address of discovery can change."""
         if config.discovery != self.discovery.address:
             self.log.info("discovery.address_changed", to=config.discovery)
             self.discovery.change_address(config.discovery)
 
     def abort_all(self) -> None:
-        """Answers all operations, and those that still come, at once: the process is about to be killed."""
+        """Answers all operations, and those that still arrive, at once because SIGKILL is near."""
         self.is_stopping = True
         self.listener.close()
         for op_id in list(self.operations):
             self.abort(op_id)
 
     def unanswered_count(self) -> int:
-        """Returns how many operations have no final answer."""
+        """Returns the number of operations without a final answer."""
         return sum(not operation.ended for operation in self.operations.values())
 
     def close(self) -> None:
-        """Ends the connections to discovery and nodes."""
+        """Closes the connections to discovery and nodes."""
         self.discovery.close()
         self.pool.close()
--- a/rushmux/resp/__init__.py
+++ b/rushmux/resp/__init__.py
@@ -1,9 +1,9 @@
-"""A codec of RESP2, the protocol of clients and nodes: bytes in, values out, and back.  No I/O.
+"""Codec of RESP2, the protocol spoken with clients and nodes, without I/O.
 
-A reader takes bytes with `receive_data` and returns complete values by `next_command` or `next_reply`, None
-while there is none.  It keeps no byte past its bounds; ProtocolError says that the rest can't be read.
+Feed received bytes to a reader with `receive_data`; `next_command` or `next_reply` returns the next complete
+value, or None until more bytes arrive. Buffers are bounded. After a ProtocolError nothing more can be read.
 
-Published source: the RESP protocol specification of Redis, version 2.
+Specification: the RESP protocol specification of Redis, version 2.
 """
 
 from rushmux.resp.command_reader import CommandReader
--- a/rushmux/resp/encoder.py
+++ b/rushmux/resp/encoder.py
@@ -1,18 +1,18 @@
-"""Writes values, errors and commands of RESP2."""
+"""Encoders of RESP2 values, errors and commands."""
 
 from collections.abc import Sequence
 
 
 def encode_bulk(value: bytes) -> bytes:
-    """Returns a bulk string."""
+    """Returns a value as a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def encode_error(text: str) -> bytes:
-    """Returns an error line; line ends in the text, which would end it early, become spaces."""
+    """Returns an error reply; CR and LF, which would end it early, are replaced by spaces."""
     return b"-" + text.encode("ascii", "replace").replace(b"\r", b" ").replace(b"\n", b" ") + b"\r\n"
 
 
 def encode_command(arguments: Sequence[bytes]) -> bytes:
-    """Returns a command: an array of bulk strings."""
+    """Returns a command as an array of bulk strings."""
     return b"*%d\r\n%b" % (len(arguments), b"".join(map(encode_bulk, arguments)))
--- a/rushmux/resp/errors.py
+++ b/rushmux/resp/errors.py
@@ -1,13 +1,13 @@
-"""Errors of the RESP2 codec.  Their messages go to clients behind `-ERR Protocol error: `."""
+"""Exceptions of the RESP2 codec; a client receives the message after `-ERR Protocol error: `."""
 
 from typing import Any
 
 
 class ProtocolError(Exception):
-    """Bytes that the protocol does not allow; nothing after them can be read.
+    """The input violates the protocol; nothing after it can be read.
 
     Attributes:
-        value: What was found; None where it was not kept.
+        value: The offending value, or None.
     """
 
     def __init__(self, message: str, value: Any = None):
@@ -16,12 +16,12 @@
 
 
 class InvalidSyntaxError(ProtocolError):
-    """Bytes that are no element of the protocol, or none that may stand here."""
+    """An element is malformed or not allowed at this position."""
 
 
 class InvalidLengthError(ProtocolError):
-    """A length or count that is no number, or none that may stand here."""
+    """A length or count is malformed or out of range."""
 
 
 class LimitExceededError(ProtocolError):
-    """A line or command longer than its bound."""
+    """A line or command exceeds its maximum size."""
--- a/rushmux/resp/reader.py
+++ b/rushmux/resp/reader.py
@@ -1,16 +1,20 @@
-"""What the readers of both directions share: lines and bulk strings out of a bounded buffer."""
+"""Base of the command and reply readers: splits a bounded buffer into lines and bulk strings."""
 
 from rushmux.resp.errors import InvalidLengthError, InvalidSyntaxError, LimitExceededError
 
 CRLF = b"\r\n"
 MAX_HEADER_BYTES = 16
-"""Bytes of a header line: a sign and a length."""
+"""Longest header line, a type byte and a length."""
 NULL_LENGTH = -1
-"""The length that stands for RESP2's null."""
+"""The length that encodes a null."""
 
 
 def parse_length(digits: bytes, limit: int) -> int:
-    """Returns a length or count from 0 to `limit`, or NULL_LENGTH; InvalidLengthError."""
+    """Parses a length or count from 0 to `limit`, or NULL_LENGTH.
+
+    Raises:
+        InvalidLengthError: It is malformed or out of range.
+    """
     if digits == b"-1":
         return NULL_LENGTH
     if not digits.isdigit() or len(digits) > MAX_HEADER_BYTES or int(digits) > limit:
@@ -20,13 +24,13 @@
 
 
 class BufferedReader:
-    """Splits received bytes into lines and bulk strings, and keeps those not read yet.
+    """Buffers received bytes and splits them into lines and bulk strings.
 
-    Every length is checked when its header is read, before a byte of what it announces is kept.
+    Each length is checked as soon as its header is read, before its data is buffered.
 
     Attributes:
         buffer: Received bytes.
-        position: Of the first byte not read.
+        position: Index of the first unread byte.
     """
 
     def __init__(self):
@@ -34,18 +38,18 @@
         self.position = 0
 
     def receive_data(self, data: bytes) -> None:
-        """Takes bytes as they come."""
+        """Appends received bytes to the buffer."""
         if self.position:
             del self.buffer[: self.position]
             self.position = 0
         self.buffer += data
 
     def unread_bytes(self) -> int:
-        """Returns how many bytes came that belong to no value returned so far."""
+        """Returns the number of received bytes that are not part of a returned value."""
         return len(self.buffer) - self.position
 
     def _next_line(self, limit: int) -> bytearray | None:
-        # The next line without its end; LimitExceededError once it grows past `limit` bytes.
+        # Returns the next line without CRLF, or None if incomplete.
         end = self.buffer.find(CRLF, self.position, self.position + limit + len(CRLF))
         if end < 0:
             if self.unread_bytes() > limit:
@@ -56,7 +60,7 @@
         return line
 
     def _next_bulk(self, length: int) -> bytes | None:
-        # The bytes of a bulk string, which a line's end must follow.
+        # Returns a bulk string's bytes, or None if incomplete. CRLF must follow them.
         end = self.position + length
         if len(self.buffer) < end + len(CRLF):
             return None
--- a/rushmux/resp/reply_reader.py
+++ b/rushmux/resp/reply_reader.py
@@ -1,4 +1,4 @@
-"""Reads nodes' replies."""
+"""Parser of nodes' replies."""
 
 from enum import StrEnum
 
@@ -6,15 +6,15 @@
 from rushmux.resp.reader import BufferedReader, parse_length
 
 MAX_REPLY_VALUE_BYTES = 1 << 20
-"""Bytes of a value that a node returns: 400,000 were seen, the protocol says 64 KiB."""
+"""Largest value a node may return. The protocol says 64 KiB, but nodes have sent 400,000 bytes."""
 MAX_LINE_BYTES = 512
-"""Bytes of a line that holds text: an error with its figures."""
+"""Longest line, such as an error with usage figures."""
 MAX_ARRAY_ELEMENTS = 8
-"""Of an array: three are usual."""
+"""Elements of an array; a node's reply usually has three."""
 
 
 class ReplyKind(StrEnum):
-    """The first byte of a reply or of an element of one."""
+    """Type of a reply or of an array element, as its first byte."""
 
     SIMPLE_STRING = "+"
     ERROR = "-"
@@ -23,33 +23,34 @@
     ARRAY = "*"
 
 
-KINDS = {ord(kind): kind for kind in ReplyKind}
-"""By first byte."""
+KIND_BY_BYTE = {ord(kind): kind for kind in ReplyKind}
+"""Reply types by the value of the first byte."""
 ARRAY, BULK = ReplyKind.ARRAY, ReplyKind.BULK
 
 
 class ReplyReader(BufferedReader):
-    """Reads replies.
+    """Parses replies.
 
     Attributes:
-        length: Of the bulk string whose header was read.
-        elements: Those read of the incomplete array; None: no array has begun.
-        missing: Elements that it still lacks.
+        bulk_length: Length of the current bulk string; None until its header was read.
+        elements: Elements of the current array read so far; None outside an array.
+        missing_elements: Elements of the array still to be read.
     """
 
     def __init__(self):
         super().__init__()
-        self.length: int | None = None
+        self.bulk_length: int | None = None
         self.elements: list[bytes | None] | None = None
-        self.missing = 0
+        self.missing_elements = 0
 
     def next_reply(self) -> tuple[ReplyKind, bytes | list[bytes | None] | None] | None:
-        """Returns kind and value of the next reply; None: it is incomplete.
+        """Returns kind and value of the next reply, or None if it is incomplete.
 
-        A null's value is None; an array's is the list of its elements' values, which are no arrays.
+        The value of a null is None, that of an array the list of its elements' values. Nested arrays are
+        rejected.
 
         Raises:
-            ProtocolError: Nothing more can be read.
+            ProtocolError: The input is malformed.
         """
         while True:
             kind, value = self._next_element()
@@ -57,40 +58,40 @@
                 return None
             if kind is ARRAY and (self.elements is not None or value is not None):
                 if self.elements is not None:
-                    raise InvalidSyntaxError("an array within an array", value)
-                self.elements, self.missing = [], value
+                    raise InvalidSyntaxError("nested array", value)
+                self.elements, self.missing_elements = [], value
             elif self.elements is None:
                 return kind, value
             else:
                 self.elements.append(value)
-                self.missing -= 1
-            if not self.missing:
+                self.missing_elements -= 1
+            if not self.missing_elements:
                 elements, self.elements = self.elements, None
                 return ARRAY, elements
 
     def _next_element(self) -> tuple[ReplyKind | None, bytes | int | None]:
-        # Kind and value of the next element; of an array the count.  (None, None): it is incomplete.
-        if self.length is None:
-            # A line without an end is known by its first byte.
-            if self.unread_bytes() and self.buffer[self.position] not in KINDS:
-                raise InvalidSyntaxError("no kind of reply", self.buffer[self.position])
+        # Returns kind and value of the next element; for an array, its length; (None, None) if incomplete.
+        if self.bulk_length is None:
+            # Checking the first byte rejects malformed input before the end of the line arrives.
+            if self.unread_bytes() and self.buffer[self.position] not in KIND_BY_BYTE:
+                raise InvalidSyntaxError("unknown reply type", self.buffer[self.position])
             line = self._next_line(MAX_LINE_BYTES)
             if line is None:
                 return None, None
-            kind, rest = KINDS[line[0]], line[1:]
+            kind, rest = KIND_BY_BYTE[line[0]], line[1:]
             if kind is ARRAY:
                 count = parse_length(rest, MAX_ARRAY_ELEMENTS)
                 return kind, count if count >= 0 else None
             if kind is not BULK:
                 if b"\r" in rest or b"\n" in rest:
-                    raise InvalidSyntaxError("half a line's end within a line", bytes(rest))
+                    raise InvalidSyntaxError("CR or LF within a line", bytes(rest))
                 return kind, bytes(rest)
             length = parse_length(rest, MAX_REPLY_VALUE_BYTES)
             if length < 0:
                 return kind, None
-            self.length = length
-        value = self._next_bulk(self.length)
+            self.bulk_length = length
+        value = self._next_bulk(self.bulk_length)
         if value is None:
             return None, None
-        self.length = None
+        self.bulk_length = None
         return BULK, value
--- a/tests/gateway/test_connection_close.py
+++ b/tests/gateway/test_connection_close.py
@@ -164,7 +164,7 @@
 def test_accepted_connections_that_fail_before_they_join_free_their_places(with_fleet):
     async def scenario(fleet):
         held, loop, join = fleet.server.listener, fleet.server.loop, fleet.server.loop.connect_accepted_socket
-        held.max_clients, held.margin, go = 0, 3, asyncio.Event()
+        held.max_clients, held.overflow_limit, go = 0, 3, asyncio.Event()
 
         async def fails(protocol, sock):
             await go.wait()
@@ -172,7 +172,7 @@
             raise OSError("gone before it was joined")
 
         loop.connect_accepted_socket = fails
-        for _ in range(held.margin):
+        for _ in range(held.overflow_limit):
             await fleet.client()
         usual = await fleet.client_that_sends(b"PING")
         async with asyncio.timeout(2):
@@ -214,7 +214,7 @@
         node.close()
         for client in idle_clients:
             client.close()
-        return "no connection can be taken" in log, "Traceback" in log
+        return "accepting a connection failed" in log, "Traceback" in log
 
     assert with_process(scenario, sockets=64) == (False, False)
 
