--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a gateway on loopback, in this process or its own, with stand-ins around it."""
+"""Fixtures: a gateway on loopback, in the test's process or its own, among fake nodes and clients."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 
 
 class RecordingLog:
-    """A log that keeps its events."""
+    """A log that records its events."""
 
     def __init__(self):
         self.rows = []
@@ -28,14 +28,14 @@
         return lambda event, **fields: self.rows.append((level, event, fields))
 
     def debug(self, event, **fields):
-        """Too many to keep."""
+        """Ignores debug events; there are too many to record."""
 
     def events(self):
         return [event for _, event, _ in self.rows]
 
 
 class InProcessFleet:
-    """A gateway, its nodes, discovery and clients."""
+    """A gateway in the test's process, with its nodes, discovery and clients."""
 
     def __init__(self):
         self.nodes, self.clients, self.log = [], [], RecordingLog()
@@ -50,7 +50,7 @@
             self.discovery.update(self.nodes[-1].row(f"s{number}", number))
         raw = configuration(self.discovery.port, list(self.discovery.rows.values()), **options)
         config = parse_config(json.dumps(raw).encode())
-        # The gateway binds the port itself; port 0 can't stand in a file.
+        # Port 0 lets the system choose; a configuration file can't hold it.
         self.server = GatewayServer(
             config._replace(listen=SocketAddress("127.0.0.1", 0)), 0.0, loop, self.log
         )
@@ -63,7 +63,7 @@
         return self.clients[-1]
 
     async def client_that_sends(self, *arguments):
-        """A client that writes a command at once; nobody need have accepted it."""
+        """Connects a client and writes a command, without waiting until the gateway has accepted it."""
         client = await self.client()
         client.send(*arguments)
         return client
@@ -79,7 +79,7 @@
 
 @pytest.fixture
 def with_fleet():
-    """Runs a scenario, a coroutine function of a `InProcessFleet`, on an event loop of its own."""
+    """Runs a scenario, a coroutine function that takes an `InProcessFleet`, on a new event loop."""
 
     def run_scenario(scenario, nodes=1, **options):
         async def main():
@@ -101,7 +101,7 @@
 
 
 class ProcessFleet:
-    """A gateway's process with a node and discovery."""
+    """A gateway in a process of its own, with one node and discovery."""
 
     def __init__(self, folder):
         self.file, self.node, self.discovery = folder / "config.json", FakeNode(), FakeDiscovery()
@@ -114,20 +114,20 @@
         self.file.write_text(json.dumps(raw))
 
     def write_known_endpoints(self, *rows):
-        """The file's own list, which may be old."""
+        """Replaces the configuration file's endpoint list, which may be outdated."""
         raw = json.loads(self.file.read_text())
         raw["known"]["servers"] = rows
         self.file.write_text(json.dumps(raw))
 
     async def restart(self, *arguments):
-        """Starts it again from nothing, as after SIGKILL; what discovery was asked before is forgotten."""
+        """Kills and restarts the gateway, and clears the recorded discovery requests."""
         self.process.kill()
         await self.process.wait()
         self.discovery.requests.clear()
         await self.start(*arguments or ("-m", "rushmux.gateway"))
 
     async def open(self, options, nodes=1):
-        """`nodes`: rows of the list; all of them lead to the one stand-in."""
+        """Starts the fake servers; `nodes` is the number of endpoints, which all point to the one node."""
         self.options = options
         await self.node.open()
         await self.discovery.open()
@@ -135,7 +135,7 @@
         self.write_config()
 
     async def start(self, *arguments):
-        """Starts it, with these arguments of the interpreter."""
+        """Starts the gateway with these arguments of the interpreter."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             *arguments,
@@ -158,7 +158,7 @@
 
 @pytest.fixture
 def with_process(tmp_path):
-    """Runs a scenario, a coroutine function of a `ProcessFleet`, with the gateway's own process."""
+    """Runs a scenario, a coroutine function that takes a `ProcessFleet`."""
 
     def run_scenario(scenario, arguments=("-m", "rushmux.gateway"), nodes=1, **options):
         async def main():
--- a/tests/gateway/test_commands.py
+++ b/tests/gateway/test_commands.py
@@ -1,4 +1,4 @@
-"""What a command may look like, what is forwarded to a node, and what a node's reply means."""
+"""Validation of commands, the arguments forwarded to nodes, interpretation of nodes' replies."""
 
 import json
 
@@ -15,17 +15,17 @@
 CONFIG = parse_config(json.dumps(configuration(1, [])).encode())
 
 
-def test_a_read_is_parsed_and_forwarded_with_the_time_of_its_attempt():
+def test_a_read_is_parsed_and_forwarded_with_the_timeout_of_its_attempt():
     arguments = read_command(7, cell=-1, time_left=480, units=2)
-    known = commands.parse_command(arguments, CONFIG)
+    command = commands.parse_command(arguments, CONFIG)
     assert (
-        known.op_id,
-        known.request_class,
-        known.plan,
-        known.units,
-        known.cell,
-        known.gateway_count,
-        known.time_left,
+        command.op_id,
+        command.request_class,
+        command.plan,
+        command.units,
+        command.cell,
+        command.gateway_count,
+        command.time_left,
     ) == (
         f"{7:016x}",
         "read",
@@ -35,7 +35,7 @@
         1,
         0.48,
     )
-    sent = known.build_arguments(120)
+    sent = command.build_arguments(120)
     assert (
         sent[:3] == arguments[:3] and sent[3] == arguments[3].replace(b"d=480", b"d=120") and len(sent) == 4
     )
@@ -47,7 +47,7 @@
     assert sent == arguments
 
 
-def changed(arguments, old, new):
+def with_options_changed(arguments, old, new):
     return [*arguments[:3], arguments[3].replace(old, new), *arguments[4:]]
 
 
@@ -64,37 +64,37 @@
         [*READ[:2], b"", READ[3]],
         [*READ[:2], b"1" * 17, READ[3]],
         [*READ[:2], b"A" * 16, READ[3]],
-        changed(READ, b"c=read", b"c=none"),
-        changed(READ, b"t=base", b"t=none"),
-        changed(READ, b"d=900", b"d=soon"),
-        changed(READ, b"d=900", b"d=-1"),
-        changed(READ, b"d=900", b"d=0"),
-        changed(READ, b"d=900", b"d=9000"),
-        changed(READ, b"d=900", b"d=900.5"),
-        changed(READ, b"units=1", b"units=0"),
-        changed(READ, b"units=1", b"units=9"),
-        changed(READ, b"units=1", b"units=nan"),
-        changed(READ, b"shard=0", b"shard=4"),
-        changed(READ, b"shard=0", b"shard=-2"),
-        changed(READ, b"hosts=1", b"hosts=0"),
-        changed(READ, b"hosts=1", b"hosts=1,x=1"),
-        changed(READ, b"d=900", b"d=900,r=1"),
-        changed(READ, b"d=900", b"d=900,k=0000000000000001"),
-        changed(WRITE, b",k=0000000000000001", b""),
-        changed(READ, b"c=read", b"c=write"),
-        changed(WRITE, b"c=write", b"c=read"),
+        with_options_changed(READ, b"c=read", b"c=none"),
+        with_options_changed(READ, b"t=base", b"t=none"),
+        with_options_changed(READ, b"d=900", b"d=soon"),
+        with_options_changed(READ, b"d=900", b"d=-1"),
+        with_options_changed(READ, b"d=900", b"d=0"),
+        with_options_changed(READ, b"d=900", b"d=9000"),
+        with_options_changed(READ, b"d=900", b"d=900.5"),
+        with_options_changed(READ, b"units=1", b"units=0"),
+        with_options_changed(READ, b"units=1", b"units=9"),
+        with_options_changed(READ, b"units=1", b"units=nan"),
+        with_options_changed(READ, b"shard=0", b"shard=4"),
+        with_options_changed(READ, b"shard=0", b"shard=-2"),
+        with_options_changed(READ, b"hosts=1", b"hosts=0"),
+        with_options_changed(READ, b"hosts=1", b"hosts=1,x=1"),
+        with_options_changed(READ, b"d=900", b"d=900,r=1"),
+        with_options_changed(READ, b"d=900", b"d=900,k=0000000000000001"),
+        with_options_changed(WRITE, b",k=0000000000000001", b""),
+        with_options_changed(READ, b"c=read", b"c=write"),
+        with_options_changed(WRITE, b"c=write", b"c=read"),
         [*READ[:3], b""],
-        changed(READ, b",", b" "),
+        with_options_changed(READ, b",", b" "),
         [*READ[:3], READ[3] + b"\n"],
         [*READ[:3], b"c=\xff" + READ[3][6:]],
     ],
 )
-def test_what_no_usual_client_sends_is_rejected(arguments):
+def test_an_invalid_command_is_rejected(arguments):
     with pytest.raises(InvalidCommandError):
         commands.parse_command(arguments, CONFIG)
 
 
-def interpreted(data):
+def interpret_reply(data):
     reader = ReplyReader()
     reader.receive_data(data)
     return replies.interpret(*reader.next_reply())
@@ -129,12 +129,12 @@
         (b"+OK\r\n", (AttemptResult.FAILED, None, *NONE)),
     ],
 )
-def test_result_and_usage_of_a_nodes_reply(data, expected):
-    assert interpreted(data) == expected
+def test_a_nodes_reply_gives_result_and_usage(data, expected):
+    assert interpret_reply(data) == expected
 
 
-def test_load_columns_of_the_settings():
-    """`inflight` on the sockets stands as `outstanding` in the settings; the scheduler reads neither."""
+def test_positions_of_the_load_columns_in_the_settings():
+    """The settings call `outstanding` what replies call `inflight`; the scheduler reads neither."""
     assert load_positions(settings()) == [None, None]
     assert load_positions({"Report": {"How": "answers", "Columns": ["recent_ms", "backlog"]}}) == [1, 0]
 
--- a/tests/gateway/test_connection_close.py
+++ b/tests/gateway/test_connection_close.py
@@ -1,6 +1,6 @@
-"""How connections to clients end: no reply is lost with them, and no accepted client ends unanswered.
+"""Closing of client connections: no reply is lost, and no command that was read stays unanswered.
 
-The races are forced: bytes come while a connection ends, all places are taken.
+The tests force the races: data arrives while a connection closes, or the client limit is reached.
 """
 
 import asyncio
@@ -18,11 +18,11 @@
 
 
 async def replies_until_end(client, within=5):
-    """All replies until the connection ends, and whether it was reset."""
-    given = []
+    """Returns all replies until the connection ends, and whether it was reset."""
+    replies = []
     while (reply := await client.reply(within=within)) is not None:
-        given.append(reply)
-    return given, client.was_reset
+        replies.append(reply)
+    return replies, client.was_reset
 
 
 @pytest.mark.parametrize(
@@ -32,23 +32,23 @@
         b"".join(encode_command(read_command(number, request_class="none")) for number in range(3)),
     ],
 )
-def test_a_client_that_goes_on_sending_behind_its_error_reads_it_and_an_orderly_end(with_fleet, rejected):
+def test_a_client_that_keeps_sending_after_its_error_reads_it_and_an_orderly_end(with_fleet, rejected):
     async def scenario(fleet):
         client = await fleet.client()
         client.writer.transport.pause_reading()
         client.writer.write(rejected)
-        for _ in range(20):  # past the time after which a quiet connection is closed
+        for _ in range(20):  # longer than LINGER_TIME
             await asyncio.sleep(0.02)
             client.writer.write(b"x")
         client.writer.transport.resume_reading()
-        given, reset = await replies_until_end(client)
-        return {kind for kind, _ in given}, len(given), reset
+        replies, reset = await replies_until_end(client)
+        return {kind for kind, _ in replies}, len(replies), reset
 
     kinds, count, reset = with_fleet(scenario)
     assert kinds == {"-"} and count == (1 if rejected == b"noise\r\n" else 3) and not reset
 
 
-def test_a_client_that_never_stops_sending_behind_its_error_is_cut_off(with_fleet):
+def test_a_client_that_never_stops_sending_after_its_error_is_aborted(with_fleet):
     async def scenario(fleet):
         client, began = await fleet.client(), time.monotonic()
         client.writer.write(b"noise\r\n")
@@ -65,50 +65,50 @@
     assert took < 3 and not left
 
 
-async def fill(fleet):
-    """Every place for clients is taken by one that asked just now."""
+async def fill_all_connections(fleet):
+    """Connects clients up to the limit, each of which has just been active."""
     clients = [await fleet.client() for _ in range(fleet.server.listener.max_clients)]
     for number, client in enumerate(clients):
         assert (await client.request(*read_command(number + 1)))[0] == "$"
     return clients
 
 
-def test_a_newcomers_operation_gets_busy_where_every_place_is_in_use(with_fleet, monkeypatch):
+def test_a_new_clients_operation_gets_busy_when_all_connections_are_in_use(with_fleet, monkeypatch):
     monkeypatch.setattr(eviction, "SHORT_IDLE_TIMEOUT", 60.0)
 
     async def scenario(fleet):
-        usual = await fill(fleet)
-        newcomer = await fleet.client_that_sends(*read_command(900))
-        given = await replies_until_end(newcomer)
-        return given, [await client.request(*read_command(1_000 + at)) for at, client in enumerate(usual)]
+        clients = await fill_all_connections(fleet)
+        new_client = await fleet.client_that_sends(*read_command(900))
+        replies = await replies_until_end(new_client)
+        return replies, [await client.request(*read_command(1_000 + at)) for at, client in enumerate(clients)]
 
-    given, usual = with_fleet(scenario, sockets=64)
-    assert given == ([("-", b"BUSY")], False) and usual == [("$", b"data")] * len(usual)
+    replies, clients = with_fleet(scenario, sockets=64)
+    assert replies == ([("-", b"BUSY")], False) and clients == [("$", b"data")] * len(clients)
 
 
-def test_newcomers_past_the_margin_wait_in_the_accept_queue_and_are_answered(with_fleet, monkeypatch):
+def test_clients_past_the_overflow_limit_wait_in_the_accept_queue_and_are_answered(with_fleet, monkeypatch):
     monkeypatch.setattr(eviction, "SHORT_IDLE_TIMEOUT", 0.5)
 
     async def scenario(fleet):
-        await fill(fleet)
-        newcomers = [await fleet.client_that_sends(*read_command(900 + number)) for number in range(30)]
-        ends = [asyncio.ensure_future(replies_until_end(client)) for client in newcomers]
+        await fill_all_connections(fleet)
+        new_clients = [await fleet.client_that_sends(*read_command(900 + number)) for number in range(30)]
+        ends = [asyncio.ensure_future(replies_until_end(client)) for client in new_clients]
         peak = 0
         while not all(end.done() for end in ends):
             peak = max(peak, len(fleet.server.listener.clients))
             await asyncio.sleep(0.001)
-            for client, end in zip(newcomers, ends, strict=True):
+            for client, end in zip(new_clients, ends, strict=True):
                 if client.replies_received and not end.done():
                     client.close()
         return [end.result() for end in ends], peak <= 1.2 * fleet.server.listener.max_clients
 
     ends, bounded = with_fleet(scenario, sockets=64)
-    assert bounded and all(len(given) == 1 and not reset for given, reset in ends)
+    assert bounded and all(len(replies) == 1 and not reset for replies, reset in ends)
 
 
 def is_reset_after_command(sock, arguments):
-    """Sends a command behind the connection's end; returns whether a reset tells that it was not read."""
-    while sock.recv(65_536):  # what was answered, and the end
+    """Sends a command after the gateway's end of stream; returns whether the connection was reset unread."""
+    while sock.recv(65_536):  # replies up to the end of stream
         pass
     sock.sendall(encode_command(arguments))
     for _ in range(300):
@@ -119,10 +119,10 @@
 
 
 @pytest.mark.parametrize("end", ["silent", "stop"])
-def test_a_command_that_crosses_an_orderly_end_is_left_unread_so_that_its_client_retries(with_process, end):
-    """Seen on fleet days: eleven requests were read behind the end, discarded and never answered.
+def test_a_command_sent_during_an_orderly_close_stays_unread_so_that_its_client_retries(with_process, end):
+    """Eleven requests on fleet days were read after the end of stream, discarded and never answered.
 
-    Left unread before, a few were sent again.
+    A command left unread causes a reset, after which the client may send it again.
     """
 
     async def scenario(fleet):
@@ -140,8 +140,8 @@
     assert with_process(scenario) == (True, [])
 
 
-def test_no_client_is_cut_off_where_the_platform_tells_no_tcp_state(with_fleet, monkeypatch):
-    """Seen on the bench, which tells the state of a socket never connected: 1,682 connections ended early."""
+def test_no_client_is_aborted_when_the_platform_reports_no_tcp_state(with_fleet, monkeypatch):
+    """The bench reports the state of a socket that was never connected: 1,682 connections ended early."""
     monkeypatch.setattr(
         asyncio.trsock.TransportSocket,
         "getsockopt",
@@ -161,32 +161,36 @@
     assert with_fleet(scenario, deadline=9_000, objective=9_000) == asked
 
 
-def test_accepted_connections_that_fail_before_they_join_free_their_places(with_fleet):
+def test_accepted_connections_that_fail_during_setup_no_longer_count_towards_the_limit(with_fleet):
     async def scenario(fleet):
-        held, loop, join = fleet.server.listener, fleet.server.loop, fleet.server.loop.connect_accepted_socket
-        held.max_clients, held.overflow_limit, go = 0, 3, asyncio.Event()
+        listener, loop, connect = (
+            fleet.server.listener,
+            fleet.server.loop,
+            fleet.server.loop.connect_accepted_socket,
+        )
+        listener.max_clients, listener.overflow_limit, go = 0, 3, asyncio.Event()
 
         async def fails(protocol, sock):
             await go.wait()
             sock.close()
-            raise OSError("gone before it was joined")
+            raise OSError("client disconnected during setup")
 
         loop.connect_accepted_socket = fails
-        for _ in range(held.overflow_limit):
+        for _ in range(listener.overflow_limit):
             await fleet.client()
-        usual = await fleet.client_that_sends(b"PING")
+        client = await fleet.client_that_sends(b"PING")
         async with asyncio.timeout(2):
-            while not held.is_accepting_paused:
+            while not listener.is_accepting_paused:
                 await asyncio.sleep(0.005)
-        loop.connect_accepted_socket = join
+        loop.connect_accepted_socket = connect
         go.set()
-        return await usual.reply(within=2)
+        return await client.reply(within=2)
 
     assert with_fleet(scenario) == ("+", b"PONG")
 
 
 def test_many_idle_clients_leave_descriptors_for_nodes_and_discovery(with_process):
-    """A small limit, held by the system: each part must find its descriptors when discovery comes back."""
+    """The system enforces a small limit; nodes need descriptors when discovery comes back."""
 
     async def scenario(fleet):
         await (await fleet.client()).request(b"PING")
@@ -220,10 +224,10 @@
 
 
 def test_idle_connections_with_commands_received_during_a_pause_of_the_process_stay_open(with_process):
-    """Connections idle for 2 s are closed where places are short: not over a command that was not read."""
+    """Near the client limit, connections idle for 2 s are closed, but not those with an unread command."""
 
     async def scenario(fleet):
-        clients = [await fleet.client() for _ in range(15)]  # over half of the places
+        clients = [await fleet.client() for _ in range(15)]  # over half of the limit
         await asyncio.gather(
             *(client.request(*read_command(number + 1)) for number, client in enumerate(clients))
         )
@@ -238,7 +242,7 @@
     assert with_process(scenario, sockets=64) == [("$", b"data")] * 15
 
 
-def test_an_incomplete_command_behind_a_complete_one_costs_no_processor_time(with_process):
+def test_an_incomplete_command_after_a_complete_one_uses_no_cpu_time(with_process):
     async def scenario(fleet):
         client = await fleet.client()
         client.writer.write(encode_command([b"PING"]) + b"*4\r\n$8\r\nBLK")
@@ -253,12 +257,10 @@
         await asyncio.sleep(1.0)
         return used() - before
 
-    assert with_process(scenario) < 30  # of a hundred in a second; a loop that never rests takes all
-
+    assert with_process(scenario) < 30  # clock ticks, of 100 per second; a busy loop would use all
 
-def test_commands_behind_large_unread_replies_are_taken_once_those_are_read(with_fleet):
-    """What came behind answers that a client was slow to read is taken once it has read them."""
 
+def test_commands_after_large_unread_replies_are_processed_once_those_are_read(with_fleet):
     async def scenario(fleet):
         fleet.nodes[0].script = lambda arguments: [success_reply(bytes(900_000))]
         client = await fleet.client()
--- a/tests/gateway/test_listener.py
+++ b/tests/gateway/test_listener.py
@@ -1,4 +1,4 @@
-"""Clients of every kind on loopback: replies, bounds, timeouts, eviction."""
+"""Client connections on loopback: replies, limits, timeouts, eviction."""
 
 import asyncio
 import errno
@@ -11,7 +11,7 @@
 from rushmux.standins.platform import option_of, read_command, success_reply, write_command
 
 
-def test_greetings(with_fleet):
+def test_commands_other_than_reads_and_writes_get_a_fixed_reply(with_fleet):
     async def scenario(fleet):
         client = await fleet.client()
         return [
@@ -75,21 +75,21 @@
         b"*2\r\n" + b"$" + b"9" * 50,
     ],
 )
-def test_malformed_input_gets_an_error_behind_the_pending_replies_and_then_a_close(with_fleet, malformed):
+def test_malformed_input_gets_an_error_after_the_pending_replies_and_then_a_close(with_fleet, malformed):
     async def scenario(fleet):
         fleet.nodes[0].script = lambda arguments: [0.1, success_reply()]
-        client, usual = await fleet.client(), await fleet.client()
+        client, regular = await fleet.client(), await fleet.client()
         client.send(*read_command(1))
         client.writer.write(malformed)
         replies = [await client.reply() for _ in range(3)]
-        return replies, await usual.request(*read_command(2)), len(fleet.nodes[0].received)
+        return replies, await regular.request(*read_command(2)), len(fleet.nodes[0].received)
 
-    replies, usual, got = with_fleet(scenario)
+    replies, regular, received = with_fleet(scenario)
     assert replies[0] == ("$", b"data") and replies[1][0] == "-" and replies[2] is None
-    assert usual == ("$", b"data") and got == 2
+    assert regular == ("$", b"data") and received == 2
 
 
-def test_an_invalid_command_reaches_no_node_and_the_third_ends_the_connection(with_fleet):
+def test_invalid_commands_reach_no_node_and_the_third_ends_the_connection(with_fleet):
     async def scenario(fleet):
         client = await fleet.client()
         replies = [await client.request(*read_command(number, request_class="none")) for number in range(3)]
@@ -98,13 +98,13 @@
     assert with_fleet(scenario) == (["-"] * 3, None, [])
 
 
-def test_the_id_of_an_operation_in_flight_is_rejected_and_the_operation_unharmed(with_fleet):
+def test_a_command_with_the_id_of_an_operation_in_flight_is_rejected_and_that_operation_answered(with_fleet):
     async def scenario(fleet):
         fleet.nodes[0].script = lambda arguments: [0.1, success_reply()]
-        usual, other = await fleet.client(), await fleet.client()
-        usual.send(*read_command(1))
+        regular, other = await fleet.client(), await fleet.client()
+        regular.send(*read_command(1))
         await asyncio.sleep(0.03)
-        return (await other.request(*read_command(1)))[0], await usual.reply(), len(fleet.nodes[0].received)
+        return (await other.request(*read_command(1)))[0], await regular.reply(), len(fleet.nodes[0].received)
 
     assert with_fleet(scenario) == ("-", ("$", b"data"), 1)
 
@@ -154,10 +154,10 @@
                     repeats += 1
 
         tasks = [asyncio.ensure_future(spam()) for _ in range(8)]
-        usual = await fleet.client()
+        regular = await fleet.client()
         for number in range(30):
             begun = time.monotonic()
-            answer = await usual.request(*read_command(number + 1))
+            answer = await regular.request(*read_command(number + 1))
             times.append((answer, time.monotonic() - begun))
         stop = True
         await asyncio.gather(*tasks)
@@ -170,48 +170,48 @@
 def test_hundreds_of_pipelined_commands_are_bounded_in_flight_and_all_answered(with_fleet):
     async def scenario(fleet):
         fleet.nodes[0].script = lambda arguments: [0.005, success_reply()]
-        client, most = await fleet.client(), 0
+        client, peak = await fleet.client(), 0
         client.writer.write(
             b"".join(encode_command(read_command(number, time_left=900)) for number in range(600))
         )
         kinds = []
         for _ in range(600):
             kinds.append((await client.reply())[0])
-            most = max(most, len(fleet.server.operations))
-        return kinds, most
+            peak = max(peak, len(fleet.server.operations))
+        return kinds, peak
 
-    kinds, most = with_fleet(scenario)
-    assert len(kinds) == 600 and kinds.count("$") > 50 and most <= client_connection.MAX_PENDING_REPLIES
+    kinds, peak = with_fleet(scenario)
+    assert len(kinds) == 600 and kinds.count("$") > 50 and peak <= client_connection.MAX_PENDING_REPLIES
 
 
-def test_idle_and_silent_clients_are_evicted_where_places_run_out(with_fleet, monkeypatch):
-    """Seen on the platform's churn day: nothing was closed, and descriptors ran out."""
+def test_idle_and_silent_clients_are_evicted_near_the_client_limit(with_fleet, monkeypatch):
+    """On the platform's churn day no connection was closed, and descriptors ran out."""
     monkeypatch.setattr(eviction, "SHORT_IDLE_TIMEOUT", 0.2)
 
     async def scenario(fleet):
-        most = fleet.server.listener.max_clients
-        for _ in range(most):  # they ask once and stay
+        max_clients = fleet.server.listener.max_clients
+        for _ in range(max_clients):  # clients that send one command and stay connected
             await (await fleet.client()).request(b"PING")
         await asyncio.sleep(0.5)
-        held = len(fleet.server.listener.clients)
-        for _ in range(most * 2):  # they say nothing
+        open_before = len(fleet.server.listener.clients)
+        for _ in range(max_clients * 2):  # clients that send nothing
             await fleet.client()
-        usual = await fleet.client()
-        answer = await usual.request(*read_command(1))
-        return most, held, len(fleet.server.listener.clients), answer
+        regular = await fleet.client()
+        answer = await regular.request(*read_command(1))
+        return max_clients, open_before, len(fleet.server.listener.clients), answer
 
-    most, held, now, answer = with_fleet(scenario, sockets=64)
-    assert held < most and now <= most and answer == ("$", b"data")
+    max_clients, open_before, open_after, answer = with_fleet(scenario, sockets=64)
+    assert open_before < max_clients and open_after <= max_clients and answer == ("$", b"data")
 
 
-def test_clients_that_only_sent_ping_are_evicted_for_newcomers_at_once(with_fleet):
-    """Seen in a recorded day: such clients held all places, and 900 newcomers a second were rejected.
+def test_clients_that_only_sent_ping_are_evicted_for_new_clients_at_once(with_fleet):
+    """On a recorded day such clients used up all connections, and 900 new clients a second were rejected.
 
-    A client that requested an operation keeps its place for the two seconds that the protocol grants.
+    A client that requested an operation stays connected for the two seconds that the protocol grants.
     """
 
     async def scenario(fleet):
-        most, answers = fleet.server.listener.max_clients, []
+        max_clients, answers = fleet.server.listener.max_clients, []
         busy, asked = await fleet.client(), await fleet.client()
         fleet.nodes[0].script = lambda arguments: [
             0.15 if arguments[2][-1:] == b"f" else 0.0,
@@ -219,22 +219,22 @@
         ]
         await asked.request(*read_command(1))
         busy.send(*read_command(0xF))
-        for _ in range(most * 3):
+        for _ in range(max_clients * 3):
             answers.append(await (await fleet.client()).request(b"PING"))
-        usual = await (await fleet.client()).request(*read_command(2))
+        regular = await (await fleet.client()).request(*read_command(2))
         return (
             {kind for kind, _ in answers},
-            usual,
+            regular,
             await busy.reply(),
             await asked.request(*read_command(3)),
-            len(fleet.server.listener.clients) <= most,
+            len(fleet.server.listener.clients) <= max_clients,
         )
 
     data = ("$", b"data")
     assert with_fleet(scenario, sockets=64) == ({"+"}, data, data, data, True)
 
 
-def test_a_client_that_does_not_read_is_bounded_and_then_aborted(with_fleet, monkeypatch):
+def test_a_client_that_does_not_read_is_limited_and_then_aborted(with_fleet, monkeypatch):
     monkeypatch.setattr(client_connection, "MAX_UNREAD_REPLY_BYTES", 1 << 16)
     monkeypatch.setattr(client_timeouts, "UNREAD_REPLIES_TIMEOUT", 0.5)
 
@@ -247,14 +247,14 @@
         await asyncio.sleep(2.5)
         return len(fleet.nodes[0].received), len(fleet.server.listener.clients)
 
-    got, clients = with_fleet(scenario)
-    assert got < 200 and clients == 0
+    received, clients = with_fleet(scenario)
+    assert received < 200 and clients == 0
 
 
 def test_no_attempt_starts_for_a_client_that_closed(with_fleet):
-    """Seen on the platform: impatient clients close, nodes then reject their requests.
+    """On the platform, nodes reject requests of clients that have closed.
 
-    A node that served everybody else well was taken for overloaded.
+    Such rejections made a healthy node look overloaded.
     """
 
     async def scenario(fleet):
@@ -269,7 +269,7 @@
     assert with_fleet(scenario) == (1, 0, 0)
 
 
-def test_a_client_that_leaves_has_no_state_left_behind(with_fleet):
+def test_no_state_is_kept_for_a_client_that_left(with_fleet):
     async def scenario(fleet):
         fleet.nodes[0].script = lambda arguments: ["hang"]
         client = await fleet.client()
@@ -282,7 +282,7 @@
     assert with_fleet(scenario) == (0, 0, 0)
 
 
-def test_the_node_is_told_the_time_left(with_fleet):
+def test_an_attempt_carries_at_most_the_time_left(with_fleet):
     async def scenario(fleet):
         client = await fleet.client()
         await client.request(*read_command(1, time_left=480))
@@ -292,8 +292,8 @@
 
 
 def test_accepting_resumes_soon_after_descriptors_ran_out(with_fleet):
-    class Short:
-        """A listening socket whose process has no descriptor left, for a while."""
+    class ExhaustedSocket:
+        """A listening socket that reports EMFILE until a given time."""
 
         def __init__(self, sock, until):
             self.sock, self.until, self.asked = sock, until, 0
@@ -308,12 +308,12 @@
             return self.sock.accept()
 
     async def scenario(fleet):
-        short = fleet.server.listener.listening_socket = Short(
+        exhausted = fleet.server.listener.listening_socket = ExhaustedSocket(
             fleet.server.listener.listening_socket, time.monotonic() + 0.35
         )
         begun = time.monotonic()
         answer = await (await fleet.client()).request(*read_command(1))
-        return answer, time.monotonic() - begun, short.asked
+        return answer, time.monotonic() - begun, exhausted.asked
 
     answer, took, asked = with_fleet(scenario)
     assert answer == ("$", b"data") and took < 0.7 and asked < 12
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""The program: its start, signals and end, as a process."""
+"""The gateway as a process: start, signals, exit."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def test_at_sigterm_it_goes_on_serving_answers_everything_and_exits_with_0(with_process):
+def test_after_sigterm_the_gateway_keeps_serving_answers_everything_and_exits_with_0(with_process):
     async def scenario(fleet):
         fleet.node.script = lambda arguments: [0.2, success_reply()]
         client, idle = await fleet.client(), await fleet.client()
@@ -25,11 +25,11 @@
         fleet.process.send_signal(signal.SIGTERM)
         begun = asyncio.get_running_loop().time()
         await asyncio.sleep(0.2)
-        late = await fleet.client()  # new connections still come for a while
+        late = await fleet.client()  # connections are still accepted for a while
         pong = await late.request(b"PING")
         answers = [await client.reply()]
         await asyncio.sleep(0.2)
-        answers.append(await late.request(*read_command(2)))  # a connection in use is served on
+        answers.append(await late.request(*read_command(2)))  # a connection in use is still served
         ends = [await one.reply() for one in (idle, late, client)]
         return pong, answers, ends, await fleet.process.wait(), asyncio.get_running_loop().time() - begun
 
@@ -44,7 +44,7 @@
         client = await fleet.client()
         fleet.process.send_signal(signal.SIGTERM)
         begun = asyncio.get_running_loop().time()
-        for number in range(28):  # asked until nothing more is taken: each has an answer, or a close
+        for number in range(28):  # until the gateway stops reading commands
             await asyncio.sleep(0.05)
             client.send(*read_command(number))
         replies = []
@@ -56,7 +56,7 @@
     assert code == 0 and took < 1.9 and replies and {kind for kind, _ in replies} == {"-"}
 
 
-def test_sighup_changes_the_discovery_address_and_a_torn_file_keeps_the_old_one(with_process):
+def test_sighup_changes_the_discovery_address_and_a_truncated_file_keeps_the_old_one(with_process):
     async def scenario(fleet):
         client = await fleet.client()
         await client.request(b"PING")
@@ -76,7 +76,7 @@
         fleet.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.3)
         answer = await client.request(*read_command(1))
-        calls, under = len(other.requests), await slow.reply()  # asked before the file changed
+        calls, under = len(other.requests), await slow.reply()  # requested before the reload
         other.close()
         return before > 0, calls > 0, answer, under, fleet.process.returncode
 
@@ -84,7 +84,7 @@
 
 
 def run_gateway(config_path):
-    """Runs a gateway that is expected to end by itself."""
+    """Runs a gateway that is expected to exit on its own."""
     return subprocess.run(
         [sys.executable, "-m", "rushmux.gateway"],
         cwd=ROOT,
@@ -96,7 +96,7 @@
     )
 
 
-def test_a_port_in_use_and_a_missing_file_are_logged_in_a_line(tmp_path):
+def test_a_port_in_use_and_a_missing_file_are_logged_in_one_line(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         file = tmp_path / "config.json"
         file.write_text(json.dumps(configuration(1, [], taken.getsockname()[1])))
@@ -105,8 +105,8 @@
             assert done.returncode == 2 and event in done.stderr and "Traceback" not in done.stderr
 
 
-def test_descriptors_that_run_out_do_not_end_it(with_process):
-    """Fewer descriptors than configured: it goes on, and serves when some are free again."""
+def test_the_gateway_survives_running_out_of_descriptors(with_process):
+    """With fewer descriptors than configured, it serves again once some are free."""
 
     async def scenario(fleet):
         await fleet.client()
@@ -119,9 +119,13 @@
         await asyncio.sleep(0.3)
         for client in idle_clients:
             client.close()
-        await asyncio.sleep(1.2)  # the loop tries again after a second
-        usual = await fleet.client()
-        return await usual.request(b"PING"), await usual.request(*read_command(1)), fleet.process.returncode
+        await asyncio.sleep(1.2)  # accepting is retried within this time
+        regular = await fleet.client()
+        return (
+            await regular.request(b"PING"),
+            await regular.request(*read_command(1)),
+            fleet.process.returncode,
+        )
 
     assert with_process(scenario) == (("+", b"PONG"), ("$", b"data"), None)
 
@@ -133,7 +137,7 @@
     assert done.returncode == 2 and "lacks" in done.stderr and "Traceback" not in done.stderr
 
 
-def test_the_program_imports_no_heavy_library():
+def test_the_gateway_imports_no_heavy_library():
     code = (
         "import sys, rushmux.gateway.__main__; "
         "print([name for name in ('numpy', 'google.protobuf', 'structlog', 'jsonschema')"
@@ -145,7 +149,7 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_the_log_tells_volumes_attempts_and_reasons_at_the_stop(with_process):
+def test_the_log_reports_volumes_attempts_and_give_up_reasons_at_the_stop(with_process):
     async def scenario(fleet):
         client = await fleet.client()
         replies = [await client.request(*read_command(number)) for number in range(3)]
--- a/tests/gateway/test_process_restrictions.py
+++ b/tests/gateway/test_process_restrictions.py
@@ -1,6 +1,6 @@
-"""Restrictions on `run`: one process, TCP and UDP over IPv4, nothing of the control plane.
+"""Restrictions on the gateway: one process, TCP and UDP over IPv4, no code of the control plane.
 
-`run` of the deploy file is started under an audit hook of the interpreter.
+The tests start the `run` command of the deploy file under an audit hook of the interpreter.
 """
 
 import signal
@@ -15,13 +15,13 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 
-# Started as `python -c GUARD MODULE`: tells on standard error what is forbidden and refuses it; at the
-# end it tells the modules that were imported.
+# Run as `python -c GUARD MODULE`: refuses forbidden calls and reports them on standard error, and at the end
+# the imported modules.
 GUARD = """
 import _socket, os, runpy, sys
 STARTS = ("os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.spawn", "os.system", "pty.spawn",
           "subprocess.Popen")
-PAIRS = [2]   # Unix sockets: the loop's own pair and no more
+PAIRS = [2]   # Unix sockets allowed: the event loop's own socket pair
 def refuse(what):
     os.write(2, b"FORBIDDEN %s\\n" % what.encode())
     raise PermissionError(what)
@@ -61,7 +61,7 @@
 def module_of_run():
     line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     arguments = line.split()
-    # One process: the shell is replaced, nothing stands before or behind the interpreter.
+    # `exec` replaces the shell, so that the interpreter is the only process.
     assert arguments[:3] == ["exec", ".venv/bin/python", "-m"] and len(arguments) == 4
     return arguments[3]
 
@@ -95,7 +95,7 @@
         "os.sendfile(1, 0, 0, 1)",
     ],
 )
-def test_the_guard_refuses_what_is_forbidden(act, tmp_path):
+def test_the_guard_refuses_forbidden_calls(act, tmp_path):
     (tmp_path / "bad.py").write_text(f"import os, socket, subprocess\n{act}\n")
     done = subprocess.run(
         [sys.executable, "-c", GUARD, "bad"],
--- a/tests/gateway/test_server.py
+++ b/tests/gateway/test_server.py
@@ -1,4 +1,4 @@
-"""The whole gateway: its state against what crosses the sockets, draining nodes, state that ages out."""
+"""The whole gateway: its state compared with the traffic, draining nodes, expiry of state."""
 
 import asyncio
 import random
@@ -12,44 +12,46 @@
 
 
 def test_attempts_in_flight_match_what_the_nodes_have_open(with_fleet):
-    """At each check, requests open at a node lie within the attempts in flight there since the last."""
+    """Each check compares a node's open requests with the attempts in flight just before and after it."""
 
     async def scenario(fleet):
-        chance, checks, wrong = random.Random(5), 0, []
+        rng, checks, mismatches = random.Random(5), 0, []
 
         def in_flight():
-            """The scheduler's attempts in flight at each node, less those that wait for a connection."""
+            """Returns the scheduler's attempts in flight per node without those waiting for a connection."""
             return {
                 name: len(node.in_flight) - len(fleet.server.pool.endpoints[name].waiting)
                 for name, node in fleet.server.scheduler.endpoints.nodes.items()
             }
 
         for node in fleet.nodes:
-            node.script = lambda arguments: [chance.uniform(0.01, 0.06), success_reply()]
+            node.script = lambda arguments: [rng.uniform(0.01, 0.06), success_reply()]
         clients = [await fleet.client() for _ in range(20)]
 
-        async def asks(client, base):
+        async def send_requests(client, base):
             for number in range(12):
                 await client.request(*read_command(base + number, cell=(base + number) % 3))
 
-        tasks = [asyncio.ensure_future(asks(client, 1000 * (at + 1))) for at, client in enumerate(clients)]
+        tasks = [
+            asyncio.ensure_future(send_requests(client, 1000 * (at + 1))) for at, client in enumerate(clients)
+        ]
         while not all(task.done() for task in tasks):
-            believed = in_flight()
-            await asyncio.sleep(0.004)  # a round and the way there
+            before = in_flight()
+            await asyncio.sleep(0.004)  # a scheduler round and the transmission
             after = in_flight()
             for number, node in enumerate(fleet.nodes):
                 name = f"s{number}"
-                low, high = min(believed[name], after[name]) - 3, max(believed[name], after[name]) + 3
+                low, high = min(before[name], after[name]) - 3, max(before[name], after[name]) + 3
                 checks += 1
                 if not low <= node.running <= high:
-                    wrong.append((name, believed[name], node.running, after[name]))
+                    mismatches.append((name, before[name], node.running, after[name]))
         await asyncio.sleep(0.05)
         rest = [len(node.in_flight) for node in fleet.server.scheduler.endpoints.nodes.values()]
         running = [node.running for node in fleet.nodes]
-        return checks, wrong, rest, running, max(node.max_running for node in fleet.nodes)
+        return checks, mismatches, rest, running, max(node.max_running for node in fleet.nodes)
 
-    checks, wrong, rest, running, most = with_fleet(scenario, nodes=3)
-    assert checks > 50 and not wrong and rest == running == [0, 0, 0] and most <= 10
+    checks, mismatches, rest, running, peak = with_fleet(scenario, nodes=3)
+    assert checks > 50 and not mismatches and rest == running == [0, 0, 0] and peak <= 10
 
 
 def test_a_node_that_refuses_connections_loses_concurrency_and_one_that_serves_keeps_it(with_fleet):
@@ -66,17 +68,17 @@
     assert refuses < serves
 
 
-def test_usage_figures_reach_the_scheduler_as_the_simulator_counts_them(with_fleet):
+def test_usage_figures_reach_the_scheduler_in_the_simulators_units(with_fleet):
     async def scenario(fleet):
-        heard, on_result = [], fleet.server.scheduler.on_attempt_result
+        reports, on_result = [], fleet.server.scheduler.on_attempt_result
         fleet.server.scheduler.on_attempt_result = lambda now, report: (
-            heard.append((report.fleet_usage, report.remote_usage)),
+            reports.append((report.fleet_usage, report.remote_usage)),
             on_result(now, report),
         )
         fleet.nodes[0].script = lambda arguments: [success_reply(used=b"$7\r\nused=36\r\n")]
         await (await fleet.client()).request(*read_command(1))
         await asyncio.sleep(0.05)
-        return heard
+        return reports
 
     assert with_fleet(scenario) == [(37, 0.0)]
 
@@ -92,7 +94,7 @@
         client.send(*read_command(2, time_left=900))
         await asyncio.sleep(0.1)
         held = len(fleet.nodes[0].received) - before
-        other = FakeNode()  # it takes over the shard and serves what is held
+        other = FakeNode()  # takes over the cell and serves the held operation
         await other.open()
         fleet.nodes.append(other)
         fleet.discovery.update(other.row("s9", 0))
@@ -103,7 +105,7 @@
 
 def test_with_an_empty_snapshot_operations_are_shed_at_their_latency_objective(with_fleet):
     async def scenario(fleet):
-        await asyncio.sleep(0.05)  # the watch has brought its first list
+        await asyncio.sleep(0.05)  # lets the first endpoint list arrive
         fleet.server.on_discovered(True, [])
         await asyncio.sleep(0.02)
         client = await fleet.client()
@@ -111,10 +113,10 @@
         answer = await client.request(*read_command(1))
         return answer, asyncio.get_running_loop().time() - began < 0.5, fleet.nodes[0].received
 
-    assert with_fleet(scenario) == (("-", b"BUSY"), True, [])  # no sooner: a node may come until then
+    assert with_fleet(scenario) == (("-", b"BUSY"), True, [])  # not earlier, since a node may still come up
 
 
-def test_the_start_of_a_node_is_known_on_the_schedulers_clock(with_fleet):
+def test_a_nodes_start_time_is_converted_to_the_schedulers_clock(with_fleet):
     async def scenario(fleet):
         now = asyncio.get_running_loop().time()
         fleet.discovery.update(
@@ -143,12 +145,12 @@
             {arguments[3].split(b",k=")[1] for arguments in fleet.nodes[0].received},
         )
 
-    answer, got, keys = with_fleet(scenario)
-    assert answer == ("$", b"data") and got == 2 and len(keys) == 1
+    answer, received, keys = with_fleet(scenario)
+    assert answer == ("$", b"data") and received == 2 and len(keys) == 1
 
 
 def test_an_operation_that_the_scheduler_gave_up_is_answered_at_once(with_fleet):
-    """No node can be reached: the operation ends when the scheduler says so, not at its deadline."""
+    """With no node reachable, the operation ends when the scheduler gives up, not at its deadline."""
 
     async def scenario(fleet):
         fleet.nodes[0].close()
@@ -161,8 +163,8 @@
     assert kind == "-" and took < 0.6
 
 
-def test_a_reply_received_while_the_process_stood_still_is_not_a_timeout(with_fleet):
-    """The node is a thread: it answers in 50 ms, while the loop stands still past the time-out."""
+def test_a_reply_received_while_the_event_loop_was_blocked_is_not_a_timeout(with_fleet):
+    """The node runs in a thread and answers in 50 ms, while the loop is blocked past the timeout."""
     listening = socket.create_server(("127.0.0.1", 0))
 
     def serve():
@@ -177,9 +179,9 @@
     thread.start()
 
     async def scenario(fleet):
-        heard, on_result = [], fleet.server.scheduler.on_attempt_result
+        reports, on_result = [], fleet.server.scheduler.on_attempt_result
         fleet.server.scheduler.on_attempt_result = lambda now, report: (
-            heard.append(report.result),
+            reports.append(report.result),
             on_result(now, report),
         )
         row = fleet.nodes[0].row("s0", 0)
@@ -187,64 +189,66 @@
         await asyncio.sleep(0.1)
         client = await fleet.client()
         client.send(*read_command(1, time_left=300))
-        await asyncio.sleep(0.03)  # it is out
+        await asyncio.sleep(0.03)  # the attempt has been sent
         begun = fleet.server.loop.time()
         time.sleep(0.2)
-        # The pause may fall between the look at the sockets and that at the timers: the time-out goes first.
+        # Simulates a pause between polling sockets and running timers, where the timeout runs first.
         fleet.server.on_timeout(f"{1:016x}", 0, begun + 0.1)
         await asyncio.sleep(0.05)
-        return heard
+        return reports
 
     assert with_fleet(scenario) == ["succeeded"]
     listening.close()
 
 
-def test_a_volumes_limit_holds_over_a_restart_of_the_gateway(with_fleet):
-    """Units by the time they came: a token bucket starts full and fills at the plan's rate.
+def test_a_volumes_limit_holds_across_a_restart_of_the_gateway(with_fleet):
+    """Replays the units received by the node against a token bucket with the plan's rate and burst.
 
-    It falls below zero by the plan's tolerance and 150 ms of its rate at most.
+    The bucket may fall below zero by at most the plan's tolerance and 150 ms of its rate.
     """
     rate, burst, tolerance = 40.0, 20.0, 8.0
 
     async def scenario(fleet):
-        came = []
+        received = []
 
         def script(arguments):
-            came.append((time.monotonic(), float(option_of(arguments, "units"))))
-            # As the platform's meter: no figure until a period has ended.
-            metered = came[-1][0] - came[0][0] > 1
+            received.append((time.monotonic(), float(option_of(arguments, "units"))))
+            # Like the platform's meter, reports no usage until a period has ended.
+            metered = received[-1][0] - received[0][0] > 1
             return [success_reply(used=b"$6\r\nused=4\r\n" if metered else b"$-1\r\n")]
 
         fleet.nodes[0].script = script
 
-        async def ask(port, base):
+        async def send_from_clients(port, base):
             fleet.port = port
             clients = [await fleet.client() for _ in range(6)]
 
-            async def asks(client, first):
+            async def send_requests(client, first):
                 for number in range(12):
                     await client.request(*read_command(first + number, units=2, time_left=500))
 
-            await asyncio.gather(*(asks(client, base + 100 * at) for at, client in enumerate(clients)))
+            await asyncio.gather(
+                *(send_requests(client, base + 100 * at) for at, client in enumerate(clients))
+            )
 
-        await ask(fleet.port, 1_000)
+        await send_from_clients(fleet.port, 1_000)
         config = fleet.server.config
-        again = GatewayServer(config._replace(seed=7), 0.0, asyncio.get_running_loop(), fleet.log)
-        await again.open()
-        await ask(again.listener.listening_socket.getsockname()[1], 9_000)
-        for part in (again.discovery, again.pool, again.listener):
+        restarted = GatewayServer(config._replace(seed=7), 0.0, asyncio.get_running_loop(), fleet.log)
+        await restarted.open()
+        await send_from_clients(restarted.listener.listening_socket.getsockname()[1], 9_000)
+        for part in (restarted.discovery, restarted.pool, restarted.listener):
             part.close()
-        return came
+        return received
 
-    came = with_fleet(scenario, plan={"NeverOver": rate, "CapDepth": burst, "Tolerance": tolerance})
-    held, least, at = burst, 0.0, None
-    for when, units in came:
-        held = min(burst, held + (when - (at or when)) * rate) - units
-        at, least = when, min(least, held)
-    assert len(came) > 20 and least >= -tolerance - 0.15 * rate
+    received = with_fleet(scenario, plan={"NeverOver": rate, "CapDepth": burst, "Tolerance": tolerance})
+    tokens, lowest, last_at = burst, 0.0, None
+    for when, units in received:
+        tokens = min(burst, tokens + (when - (last_at or when)) * rate) - units
+        last_at, lowest = when, min(lowest, tokens)
+    assert len(received) > 20 and lowest >= -tolerance - 0.15 * rate
 
 
-def test_nodes_ids_volumes_and_connections_that_are_gone_leave_nothing_behind(with_fleet, monkeypatch):
+def test_no_state_is_kept_for_nodes_operations_volumes_and_connections_that_are_gone(with_fleet, monkeypatch):
     async def scenario(fleet):
         sizes = []
         for generation in range(12):
@@ -268,7 +272,7 @@
             fleet.server.pool.sweep()
             fleet.server.pool.sweep_timer.cancel()
             scheduler = fleet.server.scheduler
-            # A removed node counts for the slow start window; the next list forgets it then.
+            # A removed node is kept for the slow start window and dropped at the next list after it.
             for gone in scheduler.endpoints.nodes.values():
                 gone.recent_units.clear()
             sizes.append(
@@ -289,4 +293,4 @@
     volumes = []
     sizes, clients = with_fleet(scenario)
     assert sizes[-1][2:4] == (0, 0) and max(sizes[-1]) <= 3 and clients == 0
-    assert max(volumes) < 25  # of 60 that came: those of the last tenth of a second
+    assert max(volumes) < 25  # of 60 in all; volumes idle for 0.1 s are dropped
--- a/tests/gateway/test_soak.py
+++ b/tests/gateway/test_soak.py
@@ -1,4 +1,4 @@
-"""Drawn runs of the gateway's process; more, and one again: `--seeds FIRST:END`, a row each with `-rP`."""
+"""Randomized runs of the gateway process; `--seeds FIRST:END` selects seeds, `-rP` prints a row per run."""
 
 import asyncio
 
@@ -17,22 +17,23 @@
         metafunc.parametrize("soak_seed", seeds)
 
 
-def play(seed, folder, *arguments):
+def run_soak(seed, folder, *arguments):
     return asyncio.run(SoakRun(seed, folder, *arguments).run())
 
 
-def test_a_drawn_run_breaks_no_rule(tmp_path, soak_seed):
-    outcome = play(soak_seed, tmp_path)
-    drawn = outcome.settings
+def test_a_random_run_breaks_no_rule(tmp_path, soak_seed):
+    outcome = run_soak(soak_seed, tmp_path)
+    settings = outcome.settings
     print(
-        f"| {soak_seed} | {drawn.shape} | {drawn.signals} | {drawn.deadline} | {drawn.write_effect} |"
-        f" {outcome.requests} | {outcome.answered} | {'; '.join(outcome.breaches[:3]) or 'kept'} |"
+        f"| {soak_seed} | {settings.shape} | {settings.signals} | {settings.deadline} |"
+        f" {settings.write_effect} | {outcome.requests} | {outcome.answered} |"
+        f" {'; '.join(outcome.breaches[:3]) or 'kept'} |"
     )
-    again = f"python -m pytest tests/gateway/test_soak.py --seeds {soak_seed}:{soak_seed + 1}"
-    assert outcome.breaches == [], again
+    rerun_command = f"python -m pytest tests/gateway/test_soak.py --seeds {soak_seed}:{soak_seed + 1}"
+    assert outcome.breaches == [], rerun_command
 
 
-# Statements that break the gateway, and a seed whose run shows it.
+# Seeds and statements that patch a defect into the gateway; the seed's run must detect it.
 DEFECTS = {
     "answers late": (
         1,
@@ -57,16 +58,16 @@
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_a_gateway_with_a_defect_is_found_out(tmp_path, defect):
+def test_a_defect_of_the_gateway_is_detected(tmp_path, defect):
     seed, *statements = DEFECTS[defect]
     start = ("import runpy", "runpy.run_module('rushmux.gateway', run_name='__main__')")
-    outcome = play(seed, tmp_path, ("-c", "; ".join((*statements, *start))))
+    outcome = run_soak(seed, tmp_path, ("-c", "; ".join((*statements, *start))))
     print(defect, outcome.breaches[:3])
     assert outcome.breaches
 
 
 def request(**fields):
-    """A read on a used connection, sent at 1.0 with half a second."""
+    """A read sent at 1.0 s on a used connection, with a deadline of 0.5 s."""
     defaults = {
         "number": 1,
         "sent_at": 1.0,
@@ -82,7 +83,7 @@
 
 
 @pytest.mark.parametrize(
-    "seen, effect, breach",
+    "observed, effect, breach",
     [
         ({"replied_at": 2.0, "attempts": attempts(1.1)}, "safe", None),
         ({"replied_at": 2.06, "attempts": attempts(1.1)}, "safe", "too late"),
@@ -100,15 +101,15 @@
         ({"replied_at": 1.2, "is_write": True, "attempts": attempts(1.0, 1.1)}, "unsafe", "run twice"),
     ],
 )
-def test_the_judge_finds_each_breach_and_nothing_else(seen, effect, breach):
-    drawn = Settings(Shape.PLAIN, Signals.TERM, 0.5, 0.3, effect, 2, 3, 256, 0)
-    breaches = judge([request(**seen)], drawn, {"drained": 0.7}, lag=0.01)
+def test_the_judge_reports_each_breach_and_nothing_else(observed, effect, breach):
+    settings = Settings(Shape.PLAIN, Signals.TERM, 0.5, 0.3, effect, 2, 3, 256, 0)
+    breaches = judge([request(**observed)], settings, {"drained": 0.7}, lag=0.01)
     assert [breach in text for text in breaches] == [True] if breach else breaches == []
 
 
-def test_a_new_connection_may_be_shut_unread_only_in_a_crowd():
-    shut = request(connection_ended_at=1.4, is_on_new_connection=True)
+def test_a_new_connection_may_be_closed_unread_only_in_a_crowd():
+    closed = request(connection_ended_at=1.4, is_on_new_connection=True)
     crowd = Settings(Shape.CROWD, Signals.TERM, 0.5, 0.3, "safe", 2, 3, 96, 60)
-    assert judge([shut], crowd, {}, lag=0.0) == []
+    assert judge([closed], crowd, {}, lag=0.0) == []
     used = request(connection_ended_at=1.4)
     assert judge([used], crowd, {}, lag=0.0)
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec of RESP2: complete values however the bytes are split, and nothing kept past a bound."""
+"""The RESP2 codec: parsing of input split at any byte, and limits of buffers."""
 
 import random
 
@@ -31,7 +31,7 @@
 
 
 def next_of(reader):
-    """The next command or reply, by the kind of reader."""
+    """Returns the next command or reply, depending on the reader."""
     return reader.next_command() if isinstance(reader, CommandReader) else reader.next_reply()
 
 
@@ -45,11 +45,11 @@
 
 
 @pytest.mark.parametrize("cut", range(len(REPLIES)))
-def test_replies_split_at_every_byte(cut):
+def test_replies_split_in_two_at_any_byte_are_read(cut):
     assert values(ReplyReader(), [REPLIES[:cut], REPLIES[cut:]]) == EXPECTED
 
 
-def test_replies_byte_by_byte():
+def test_replies_received_byte_by_byte_are_read():
     assert values(ReplyReader(), [REPLIES[at : at + 1] for at in range(len(REPLIES))]) == EXPECTED
 
 
@@ -57,10 +57,10 @@
     strategies.lists(strategies.lists(strategies.binary(max_size=80), min_size=1, max_size=16), max_size=8),
     strategies.randoms(use_true_random=False),
 )
-def test_encoded_commands_are_read_back(commands, chance):
+def test_encoded_commands_are_read_back(commands, rng):
     data, pieces = b"".join(map(encode_command, commands)), []
     while data:
-        size = chance.randint(1, 40)
+        size = rng.randint(1, 40)
         pieces.append(data[:size])
         data = data[size:]
     reader = CommandReader()
@@ -68,7 +68,7 @@
 
 
 @given(strategies.binary(max_size=400))
-def test_random_bytes_are_a_protocol_error_or_stay_within_bounds(noise):
+def test_random_bytes_are_a_protocol_error_or_stay_within_the_buffer_limit(noise):
     for reader in (CommandReader(), ReplyReader()):
         try:
             values(reader, [noise[at : at + 7] for at in range(0, len(noise), 7)])
@@ -104,7 +104,7 @@
             pass
 
 
-def test_a_command_that_announces_too_many_bytes_is_a_protocol_error_before_they_come():
+def test_a_command_that_announces_too_many_bytes_is_a_protocol_error_before_they_arrive():
     reader = CommandReader()
     reader.receive_data(b"*3\r\n" + encode_bulk(b"x" * MAX_VALUE_BYTES) + b"$65536\r\n")
     with pytest.raises(ProtocolError):
@@ -135,9 +135,9 @@
 
 
 def test_a_large_value_of_a_node_is_read_completely():
-    """Seen on the platform: values of 400,000 bytes, where its protocol says 64 KiB.
+    """Nodes have sent values of 400,000 bytes, although the protocol says 64 KiB.
 
-    Taken for malformed, each was asked for three times.
+    When these were rejected as malformed, each operation was attempted three times.
     """
     value = b"v" * 400_000
     data = b"*3\r\n" + encode_bulk(value) + b"$-1\r\n$-1\r\n"
@@ -155,11 +155,11 @@
 
 
 def test_reading_is_linear_however_the_bytes_are_split():
-    """The bytes moved within the buffer stay in proportion to what came."""
-    chance, data = random.Random(1), encode_command([b"BLK.WRITE", b"x" * MAX_VALUE_BYTES]) * 20
+    """The bytes moved within the buffer stay proportional to the input."""
+    rng, data = random.Random(1), encode_command([b"BLK.WRITE", b"x" * MAX_VALUE_BYTES]) * 20
     reader, at, found = CommandReader(), 0, 0
     while at < len(data):
-        size = chance.randint(1, 300)
+        size = rng.randint(1, 300)
         reader.receive_data(data[at : at + size])
         at += size
         while reader.next_command() is not None:
