--- a/rushmux/gateway/client_connection.py
+++ b/rushmux/gateway/client_connection.py
@@ -49,7 +49,7 @@
 
 
 class PendingReply:
-    """The reply to one command, in the order of the commands.
+    """The reply to one command, queued until it is complete and its turn has come.
 
     Attributes:
         reply: The encoded reply; None until it is known.
@@ -183,9 +183,9 @@
     # Flow control.
 
     def _update_reading(self) -> None:
-        # Reading pauses while commands can't be processed, since the buffer would grow. A paused connection
-        # hides its client's close, and the commands of a client that left would still be executed; so a
-        # bounded amount is read ahead.
+        # Reading pauses while commands can't be processed, since the buffer would grow. But a close can't be
+        # detected while reading is paused, and the commands of a client that left would still be executed.
+        # So a bounded amount is read ahead.
         read_ahead_bytes = self.reader.unread_bytes()
         self.listener.read_ahead_bytes += read_ahead_bytes - self.read_ahead_bytes
         self.read_ahead_bytes = read_ahead_bytes
@@ -249,7 +249,7 @@
 
         Args:
             discards_input: Whether to read and discard further input, so that the client reads the error
-                instead of a reset. Only for malformed input: a valid command that arrives during the close
+                instead of a reset. Only after invalid input: a valid command that arrives during the close
                 must stay unread, since the reset makes its client retry it.
         """
         if self.state is ConnectionState.OPEN:
--- a/rushmux/gateway/process.py
+++ b/rushmux/gateway/process.py
@@ -19,9 +19,9 @@
 from rushmux.scheduling.driver import TICKS_PER_SECOND
 
 ACCEPT_TIME = 0.5
-"""Seconds after SIGTERM for which connections are accepted at least; the process does not exit earlier."""
+"""Minimum seconds after SIGTERM for which connections are accepted; the process does not exit earlier."""
 MAX_DRAIN_TIME = 3.0
-"""Seconds of the longest deadline that the platform counts at most."""
+"""Seconds that the platform waits at most for the longest deadline."""
 KILL_MARGIN = 0.7
 """Seconds after the drain time until SIGKILL may come."""
 BEGIN_SHUTDOWN_BEFORE_KILL = 0.8
--- a/rushmux/gateway/server.py
+++ b/rushmux/gateway/server.py
@@ -76,8 +76,8 @@
     async def open(self) -> None:
         """Waits up to `FIRST_LIST_TIMEOUT` for the first endpoint list, then starts to listen.
 
-        The configuration's endpoint list may be outdated. Operations accepted before discovery has answered
-        could go to a draining node.
+        The platform counts discovery's list as known from the start, but the configuration's list may be
+        outdated: an operation accepted earlier could go to a draining node.
 
         Raises:
             OSError: The address can't be bound.
