--- a/rushmux/gateway/__main__.py
+++ b/rushmux/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one gateway until SIGTERM; the environment variable `NODE_CONFIG` names its configuration file."""
+"""Runs a gateway until SIGTERM, with the configuration file named by `NODE_CONFIG`."""
 
 import asyncio
 import os
@@ -8,6 +8,6 @@
 from rushmux.gateway.process import serve
 
 if __name__ == "__main__":
-    # The default action of SIGHUP would end the process before the event loop installs its handler.
+    # By default, a SIGHUP before the loop's handler is installed would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     sys.exit(asyncio.run(serve(os.environ.get("NODE_CONFIG", ""))))
--- a/rushmux/gateway/bounded_log.py
+++ b/rushmux/gateway/bounded_log.py
@@ -8,17 +8,17 @@
 LINES_PER_SECOND = 20
 """Sustained rate; an operator can't follow more."""
 BURST = 200
-"""Lines that may be written at once, as at a start, a reload or the loss of a node."""
+"""Lines written at once, as at a start, a reload or the loss of a node."""
 TRACEBACK_FRAMES = 4
 """Innermost frames of a traceback that are logged."""
 
 
 class BoundedLogger:
-    """Logger limited by a token bucket, with the interface of the other programs' loggers.
+    """Logger with a token bucket and the interface of the other programs' loggers.
 
     Attributes:
         tokens: Lines that may be written now.
-        dropped: Lines dropped since the last one that was written.
+        dropped: Lines dropped since the last one written.
     """
 
     def __init__(self, clock: Callable[[], float], name: str, sink: TextIO = sys.stderr):
@@ -59,6 +59,6 @@
         self._write("error", event, fields)
 
     def exception(self, event: str, **fields) -> None:
-        """Logs a failure with the traceback of the exception being handled."""
+        """Logs a failure with the current exception's traceback."""
         text = traceback.format_exc(limit=-TRACEBACK_FRAMES).strip().replace("\n", " | ")
         self._write("error", event, {**fields, "fault": text})
--- a/rushmux/gateway/client_connection.py
+++ b/rushmux/gateway/client_connection.py
@@ -16,18 +16,18 @@
     from rushmux.gateway.listener import Listener
 
 MAX_PENDING_REPLIES = 64
-"""Unanswered commands of a connection above which no more commands are processed."""
+"""Unanswered commands of a connection above which its commands wait."""
 MAX_UNREAD_REPLY_BYTES = 1 << 19
-"""Bytes of unread replies of a connection above which no more commands are processed."""
+"""Bytes of unread replies of a connection above which its commands wait."""
 MAX_DISCARDED_BYTES = 1 << 20
-"""Bytes of input discarded on a connection that is ending, after which reading stops."""
+"""Bytes of discarded input of a connection after which reading stops."""
 MAX_READ_AHEAD = 1 << 17
-"""Bytes of unprocessed commands that are read from a connection.
+"""Bytes of unprocessed commands read from a connection.
 
 Reading ahead detects the close of a client that sent hundreds of commands at once and left.
 """
 MAX_TOTAL_READ_AHEAD = 4 << 20
-"""Bytes of unprocessed commands over all connections above which none reads ahead."""
+"""Bytes of unprocessed commands of all connections above which none reads ahead."""
 MAX_PROTOCOL_ERRORS = 3
 """Invalid commands after which a connection is closed."""
 QUIET_TIME = 0.02
@@ -49,11 +49,11 @@
 
 
 class PendingReply:
-    """The reply to one command, queued until it is complete and its turn has come.
+    """The reply to one command, queued until it is complete and next in order.
 
     Attributes:
-        reply: The encoded reply; None until it is known.
-        op_id: Id of the operation that produces the reply; None if there is none or the client has gone.
+        reply: The encoded reply; None until known.
+        op_id: The operation that gives the reply; None if there is none or the client has gone.
     """
 
     __slots__ = ("client", "op_id", "reply")
@@ -72,18 +72,18 @@
 class ClientConnection(asyncio.Protocol):
     """A client connection.
 
-    The flags for what the client has sent and for which direction is paused are independent of `state` and
-    of each other.
+    The flags for what the client has sent and which direction is paused are independent of `state` and of
+    each other.
 
     Attributes:
         pending_replies: Replies not sent yet, in the order of the commands.
-        last_active_at: Event loop time of the last command or reply, or of the start of a partial command.
+        last_active_at: Event loop time of the last command or reply, or the start of a partial command.
         has_sent_command: Whether a complete command was received.
         has_requested_operation: Whether a read or write was received.
         has_unprocessed_commands: Whether the buffer may hold complete commands.
         has_shutdown_check: Whether `_close_if_quiet` is scheduled.
-        read_ahead_bytes: Bytes of unprocessed commands in the buffer.
-        discards_input: Whether input is read and discarded after the connection stopped accepting commands.
+        read_ahead_bytes: Bytes of unprocessed commands.
+        discards_input: Whether further input is read and discarded once no commands are accepted.
     """
 
     def __init__(self, listener: Listener):
@@ -137,7 +137,7 @@
         if self.state is not ConnectionState.OPEN:
             self._discard(len(data))
             return
-        # The timeout of a command counts from its first byte, since it may arrive a byte at a time.
+        # A command may arrive a byte at a time; its timeout counts from the first.
         if not self.reader.has_partial_command():
             self.last_active_at = self.listener.loop.time()
         self.reader.receive_data(data)
@@ -183,9 +183,8 @@
     # Flow control.
 
     def _update_reading(self) -> None:
-        # Reading pauses while commands can't be processed, since the buffer would grow. But a close can't be
-        # detected while reading is paused, and the commands of a client that left would still be executed.
-        # So a bounded amount is read ahead.
+        # Reading pauses while commands can't be processed, to bound the buffer. But a close is not detected
+        # while reading is paused, and commands of a client that left would be executed; so some are read ahead.
         read_ahead_bytes = self.reader.unread_bytes()
         self.listener.read_ahead_bytes += read_ahead_bytes - self.read_ahead_bytes
         self.read_ahead_bytes = read_ahead_bytes
@@ -221,7 +220,7 @@
         self.listener.loop.call_soon(self._process_more_commands)
 
     def flush(self) -> None:
-        """Sends the replies that are complete, up to the first incomplete one."""
+        """Sends the replies up to the first incomplete one."""
         parts = []
         while self.pending_replies and self.pending_replies[0].reply is not None:
             parts.append(self.pending_replies.popleft().reply)
--- a/rushmux/gateway/client_timeouts.py
+++ b/rushmux/gateway/client_timeouts.py
@@ -14,14 +14,9 @@
 
 
 def enforce_timeouts(client: ClientConnection, now: float, idle_timeout: float) -> None:
-    """Closes the connection if one of its timeouts has expired.
+    """Closes the connection if it is silent, idle for `idle_timeout` seconds or does not read its replies.
 
-    Call it right after the sockets were read: closing a connection loses any unread command on it.
-
-    Args:
-        client: The connection to check.
-        now: The event loop's time.
-        idle_timeout: Seconds the connection may be idle.
+    Call it right after reading the sockets, since closing loses an unread command.
     """
     transport = client.transport
     if transport.is_closing() or not client.is_open:
@@ -36,7 +31,7 @@
         and now - client.last_active_at > idle_timeout
         and not transport.get_write_buffer_size()
     ):
-        # All replies were sent long ago, so a plain close loses nothing.
+        # All replies were sent long ago; a plain close loses nothing.
         transport.close()
 
 
--- a/rushmux/gateway/commands.py
+++ b/rushmux/gateway/commands.py
@@ -44,7 +44,7 @@
     name: bytes
     block: bytes
     options_before_time: bytes
-    """The part of the options before the time left, which is replaced for each attempt."""
+    """The options before the time left, which each attempt replaces."""
     options_after_time: bytes
     data: tuple[bytes, ...]
     """The data of a write; empty for a read."""
@@ -56,11 +56,7 @@
 
 
 def parse_command(arguments: list[bytes], config: GatewayConfig) -> Command:
-    """Parses and validates the arguments of a read or write.
-
-    Raises:
-        InvalidCommandError: The command is malformed or does not fit the configuration.
-    """
+    """Parses and validates the arguments of a read or write; raises InvalidCommandError."""
     name = arguments[0].upper()
     if len(arguments) != (WRITE_ARGUMENTS if name == WRITE else READ_ARGUMENTS):
         raise InvalidCommandError(f"{len(arguments)} words", len(arguments))
--- a/rushmux/gateway/config.py
+++ b/rushmux/gateway/config.py
@@ -1,4 +1,4 @@
-"""The gateway's JSON configuration file, provided by the platform; only the values in use are checked."""
+"""Loads the platform's JSON configuration of a gateway; only values in use are checked."""
 
 from typing import NamedTuple
 
@@ -44,11 +44,7 @@
 
 
 def load_config(path: str) -> GatewayConfig:
-    """Reads a configuration file.
-
-    Raises:
-        ConfigError: The file can't be read, is truncated or lacks a required key.
-    """
+    """Loads a file; raises ConfigError if it is unreadable, truncated or incomplete."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -60,11 +56,7 @@
 
 
 def parse_config(data: bytes) -> GatewayConfig:
-    """Parses the content of a configuration file.
-
-    Raises:
-        ConfigError: The content is not valid JSON, or a value is missing or invalid.
-    """
+    """Parses a file's content; raises ConfigError."""
     try:
         return _build_config(orjson.loads(data))
     except orjson.JSONDecodeError as error:
--- a/rushmux/gateway/event_loop.py
+++ b/rushmux/gateway/event_loop.py
@@ -5,9 +5,9 @@
 
 
 def call_after_polling(loop: asyncio.AbstractEventLoop, callback: Callable, *arguments) -> None:
-    """Calls `callback` after all data that has already arrived on the sockets was read.
+    """Calls `callback` after all data that has already arrived was read.
 
-    After the process was suspended, the loop may run expired timers before it polls the sockets. A timer
-    that closes silent clients must run after the poll, or it misses the data they sent.
+    After a suspension of the process, the loop may run expired timers before it polls the sockets. A timer
+    that closes silent clients must wait for the poll.
     """
-    loop.call_soon(loop.call_soon, callback, *arguments)  # the loop polls the sockets between the two calls
+    loop.call_soon(loop.call_soon, callback, *arguments)  # the loop polls the sockets between the calls
--- a/rushmux/gateway/eviction.py
+++ b/rushmux/gateway/eviction.py
@@ -27,13 +27,13 @@
 
 
 def choose_victim(clients: Iterable[ClientConnection], now: float) -> ClientConnection | None:
-    """Returns the client to evict when the client limit is exceeded, or None if none may be evicted now.
+    """Returns the client to evict when the client limit is exceeded, or None if none may be evicted.
 
     In order of preference: a client that sent nothing for `NEW_CLIENT_GRACE`, an idle client that never
-    requested an operation, and the client idle for longest, if for more than `SHORT_IDLE_TIMEOUT`. Clients
-    that only send PING and stay connected could otherwise lock out those that request operations.
+    requested an operation, the client idle for longest (over `SHORT_IDLE_TIMEOUT`). Clients that only send
+    PING and stay connected could otherwise lock out those with operations.
 
-    Call it right after the sockets were read: closing a connection loses any unread command on it.
+    Call it right after reading the sockets, since closing loses an unread command.
     """
     candidates = [client for client in clients if client.is_open and not client.transport.is_closing()]
     silent = next((client for client in candidates if client.is_silent()), None)
--- a/rushmux/gateway/listener.py
+++ b/rushmux/gateway/listener.py
@@ -21,7 +21,7 @@
 ACCEPTS_PER_TURN = 16
 """Connections accepted per iteration of the event loop, so that a flood does not starve it."""
 OVERFLOW_RATIO = 0.1
-"""Connections above the client limit, as a share of it, for clients to be told BUSY and lingering closes."""
+"""Share of the client limit allowed above it, for lingering closes and clients to be told BUSY."""
 SWEEP_INTERVAL = 0.1
 """Seconds between two checks of the clients' timeouts."""
 
@@ -40,15 +40,15 @@
 class Listener:
     """Accepts and tracks all client connections.
 
-    A complete command on a connection that the system has accepted must be answered. Each connection is
-    therefore tracked from the accept queue on: in `setup_tasks` until it is set up, then in `clients`.
+    A complete command on a connection that the system has accepted must be answered. So connections are
+    tracked from the accept queue on: in `setup_tasks` until they are set up, then in `clients`.
 
     Attributes:
         clients: All established connections.
-        setup_tasks: Tasks of accepted connections that are not set up yet.
+        setup_tasks: Tasks that set up accepted connections.
         overflow_limit: Connections allowed above `max_clients`.
-        read_ahead_bytes: Bytes of unprocessed commands, over all clients.
-        is_accepting_paused: Whether new connections stay in the accept queue because the limit is reached.
+        read_ahead_bytes: Bytes of unprocessed commands of all clients.
+        is_accepting_paused: Whether new connections wait in the accept queue because the limit is reached.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
             config: Configuration that commands are validated against.
             max_clients: Limit of client connections.
             on_request: Called as `on_request(command, pending_reply)` to submit an operation.
-            on_client_gone: Called with the id of each unanswered operation of a client that disconnected.
+            on_client_gone: Called with the id of each operation whose client disconnected.
         """
         self.loop = loop
         self.max_clients = max_clients
@@ -91,11 +91,7 @@
     # Accepting.
 
     async def open(self, host: str, port: int) -> None:
-        """Starts to listen.
-
-        Raises:
-            OSError: The address can't be bound.
-        """
+        """Starts to listen; raises OSError if the address can't be bound."""
         self.listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listening_socket.setblocking(False)
@@ -138,7 +134,7 @@
         return False
 
     def _on_accept_failed(self, error: OSError) -> None:
-        # Out of descriptors, for instance. Accepting pauses, or the loop would retry without a break.
+        # Out of descriptors: without a pause, the loop would retry continuously.
         self.loop.remove_reader(self.listening_socket)
         self.loop.call_later(SWEEP_INTERVAL, self._resume_accepting)
         self.loop.call_exception_handler({"message": "accepting a connection failed", "exception": error})
@@ -151,7 +147,7 @@
     def _on_set_up(self, task: asyncio.Task) -> None:
         del self.setup_tasks[task]
         if not task.cancelled():
-            task.exception()  # marks it as retrieved; the client disconnected during the setup
+            task.exception()  # marks it as retrieved: the client disconnected during setup
         self._resume_accepting_if_below_limit()
 
     # Clients.
@@ -175,7 +171,7 @@
             self._resume_accepting()
 
     def _evict(self) -> None:
-        # If no client can be evicted, new ones stay for now; their first operation gets BUSY and a close.
+        # If none can be evicted, new clients stay for now; their first operation gets BUSY and a close.
         if not self.is_over_capacity():
             return
         victim = eviction.choose_victim(self.clients, self.loop.time())
@@ -200,7 +196,7 @@
     # Shutdown.
 
     def begin_shutdown(self) -> None:
-        """Closes each connection once it is quiet with no pending reply; until then it accepts commands."""
+        """Closes each connection once it is quiet with no pending reply; commands are still accepted."""
         self.is_shutting_down = True
         for client in self.clients:
             client.close_when_quiet()
@@ -216,7 +212,7 @@
                 client.flush()
 
     def close_if_drained(self) -> bool:
-        """Closes the listener if no connection is left, the accept queue included; returns whether it did."""
+        """Closes the listener if no connection is left, even in the accept queue; returns whether it did."""
         if self.clients or self.setup_tasks:
             return False
         if self.listening_socket is not None and not (self._accept() and not self.setup_tasks):
@@ -227,8 +223,7 @@
     def close(self) -> None:
         """Stops listening.
 
-        Connections in the accept queue are accepted first: the system would reset them and lose their
-        commands.
+        Connections in the accept queue are accepted first, or the system would reset them.
         """
         if self.listening_socket is not None:
             self._accept(BACKLOG, ignore_limit=True)
--- a/rushmux/gateway/paused_clients.py
+++ b/rushmux/gateway/paused_clients.py
@@ -1,4 +1,4 @@
-"""Detects closed connections among the clients whose sockets are not being read."""
+"""Detects closed connections among clients whose sockets are not being read."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     from rushmux.gateway.client_connection import ClientConnection
 
 CHECK_INTERVAL = 0.05
-"""Seconds between checks: no attempt may start more than 0.1 s after its client closed the connection."""
+"""Seconds between checks: no attempt may start more than 0.1 s after its client's close."""
 TCP_CLOSE_WAIT = 8
 """TCP state, the first byte of TCP_INFO, after the peer has shut down its sending side."""
 
@@ -44,8 +44,8 @@
 def has_peer_closed(transport: asyncio.Transport) -> bool:
     """Returns whether the system reports that the peer closed or reset the connection.
 
-    Only the socket's error counts as a reset, not the TCP state: platforms without TCP state information
-    report that of a socket that was never connected, and healthy clients would be cut off.
+    Only the socket's error counts as a reset, not the TCP state: platforms that don't provide the state
+    report that of an unconnected socket, and healthy clients would be aborted.
     """
     try:
         sock = transport.get_extra_info("socket")
--- a/rushmux/gateway/process.py
+++ b/rushmux/gateway/process.py
@@ -1,8 +1,4 @@
-"""Lifecycle of the gateway process: start, reload on SIGHUP, graceful shutdown on SIGTERM.
-
-The platform may send SIGKILL once the longest deadline of the request classes (`MAX_DRAIN_TIME` at most) and
-`KILL_MARGIN` have passed since SIGTERM.
-"""
+"""Lifecycle of the gateway process: start, reload on SIGHUP, graceful shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -19,33 +15,31 @@
 from rushmux.scheduling.driver import TICKS_PER_SECOND
 
 ACCEPT_TIME = 0.5
-"""Minimum seconds after SIGTERM for which connections are accepted; the process does not exit earlier."""
+"""Seconds after SIGTERM for which connections are accepted; the process does not exit earlier."""
 MAX_DRAIN_TIME = 3.0
-"""Seconds that the platform waits at most for the longest deadline."""
+"""Seconds that the platform waits at most for the longest deadline of a request class."""
 KILL_MARGIN = 0.7
-"""Seconds after the drain time until SIGKILL may come."""
+"""Seconds from then until SIGKILL may come."""
 BEGIN_SHUTDOWN_BEFORE_KILL = 0.8
 """Seconds before SIGKILL from which connections are closed once they are quiet.
 
-This leaves operations that arrive just before it the usual time of a reply before they are aborted.
+Operations that arrive just before then have the usual time of a reply until they are aborted.
 """
 ABORT_BEFORE_KILL = 0.4
 """Seconds before SIGKILL at which all operations are answered and the listener closes."""
 FINISH_BEFORE_KILL = 0.15
-"""Seconds before SIGKILL at which reading stops, which leaves time to transmit the last replies."""
+"""Seconds before SIGKILL at which reading stops, to leave time for sending the last replies."""
 DRAIN_CHECK_INTERVAL = 0.05
 """Seconds between checks whether all connections have ended."""
 EXIT_OK = 0
 EXIT_STARTUP_FAILED = 2
-"""The configuration is unusable, or the address can't be bound."""
+"""The configuration is invalid, or the address can't be bound."""
 
 
 class SignalEvents:
     """Exposes the process's signals as asyncio events.
 
     Attributes:
-        stop: Set by SIGTERM and SIGINT.
-        reload: Set by SIGHUP.
         stop_requested_at: Event loop time of the first SIGTERM or SIGINT.
     """
 
@@ -56,7 +50,7 @@
         self.stop_requested_at: float | None = None
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
-            # The loop's handler may run late, after a long callback; the shutdown is timed from the signal.
+            # The loop's handler may run late, behind a long callback; shutdown is timed from the signal.
             signal.signal(number, self._record_stop)
             signal.siginterrupt(number, False)  # as `add_signal_handler` does: system calls are restarted
         loop.add_signal_handler(signal.SIGHUP, self.reload.set)
@@ -71,7 +65,7 @@
     loop = asyncio.get_running_loop()
     signals = SignalEvents(loop)
     log = BoundedLogger(loop.time, os.environ.get("NODE_NAME", "gateway"))
-    # The loop's default handler prints exceptions of callbacks directly, without the log's rate limit.
+    # The loop's default handler would print exceptions of callbacks without the log's rate limit.
     loop.set_exception_handler(
         lambda _, context: log.error(
             "event_loop.fault", what=context["message"], fault=repr(context.get("exception"))
@@ -103,7 +97,7 @@
     opening = server.loop.create_task(server.open())
     stopping = server.loop.create_task(signals.stop.wait())
     await asyncio.wait([opening, stopping], return_when=asyncio.FIRST_COMPLETED)
-    if not opening.done():  # stopped before the listener was open; there are no clients
+    if not opening.done():  # stopped before any client was accepted
         opening.cancel()
         log.info("gateway.stopped", taken=0, open=0)
         return EXIT_OK
--- a/rushmux/gateway/server.py
+++ b/rushmux/gateway/server.py
@@ -46,7 +46,7 @@
     Attributes:
         epoch: Unix time, in seconds, at which the event loop's clock was 0.
         known_states: State and start time of each node as last passed to the scheduler.
-        is_stopping: Whether new operations are answered BUSY at once because the process is about to end.
+        is_stopping: Whether new operations get BUSY because the process is about to end.
     """
 
     def __init__(self, config: GatewayConfig, epoch: float, loop: asyncio.AbstractEventLoop, log):
@@ -76,11 +76,8 @@
     async def open(self) -> None:
         """Waits up to `FIRST_LIST_TIMEOUT` for the first endpoint list, then starts to listen.
 
-        The platform counts discovery's list as known from the start, but the configuration's list may be
-        outdated: an operation accepted earlier could go to a draining node.
-
-        Raises:
-            OSError: The address can't be bound.
+        The platform counts discovery's list as known from the start, and the configuration's may be outdated:
+        an operation accepted earlier could go to a draining node. Raises OSError.
         """
         self._apply_endpoints(UpdateKind.RECOVERED, self.config.known_endpoints)
         self.discovery.start()
@@ -113,11 +110,7 @@
     # Clients.
 
     def on_request(self, command: Command, pending: PendingReply) -> None:
-        """Submits a client's operation.
-
-        Raises:
-            InvalidCommandError: Its id is that of an operation in flight.
-        """
+        """Submits a client's operation; raises InvalidCommandError if its id is in use."""
         if command.op_id in self.operations:
             raise InvalidCommandError("the id is that of an open request", command.op_id)
         if self.is_stopping or len(self.operations) >= self.config.max_operations:
@@ -204,7 +197,7 @@
             self.discovery.change_address(config.discovery)
 
     def abort_all(self) -> None:
-        """Answers all operations, and those that still arrive, at once because SIGKILL is near."""
+        """Answers all operations, and those that still arrive, at once: SIGKILL is near."""
         self.is_stopping = True
         self.listener.close()
         for op_id in list(self.operations):
--- a/rushmux/resp/command_reader.py
+++ b/rushmux/resp/command_reader.py
@@ -6,7 +6,7 @@
 MAX_VALUE_BYTES = 65_536
 """Largest value a client may send, by the platform's protocol."""
 MAX_ARGUMENTS = 16
-"""Arguments of a command: a write has five, the setup commands of client libraries a few more."""
+"""A write has five arguments, the setup commands of client libraries a few more."""
 MAX_COMMAND_BYTES = MAX_VALUE_BYTES + 4_096
 """Total bytes of a command's arguments."""
 ARRAY, BULK = b"*$"
@@ -18,8 +18,8 @@
     Attributes:
         arguments: Arguments of the current command read so far.
         missing_arguments: Arguments still to be read; 0 between commands.
-        bulk_length: Length of the next argument; None until its header was read.
-        command_bytes: Bytes of the current command's arguments announced so far.
+        bulk_length: Length of the next argument; None until its header is read.
+        command_bytes: Bytes announced for the current command's arguments.
     """
 
     def __init__(self):
@@ -34,11 +34,7 @@
         return bool(self.missing_arguments or self.unread_bytes())
 
     def next_command(self) -> list[bytes] | None:
-        """Returns the next command's arguments, or None if it is incomplete.
-
-        Raises:
-            ProtocolError: The input is malformed.
-        """
+        """Returns the next command's arguments, or None if it is incomplete; raises ProtocolError."""
         while True:
             if self.bulk_length is None:
                 line = self._next_header()
@@ -59,7 +55,7 @@
                 return arguments
 
     def _next_header(self) -> bytearray | None:
-        # Checking the first byte rejects malformed input before the end of the line arrives.
+        # The first byte is checked before the end of the line has arrived.
         if self.unread_bytes() and self.buffer[self.position] != (BULK if self.missing_arguments else ARRAY):
             raise InvalidSyntaxError("a command is an array of bulk strings", self.buffer[self.position])
         return self._next_line(MAX_HEADER_BYTES)
--- a/rushmux/resp/reader.py
+++ b/rushmux/resp/reader.py
@@ -10,11 +10,7 @@
 
 
 def parse_length(digits: bytes, limit: int) -> int:
-    """Parses a length or count from 0 to `limit`, or NULL_LENGTH.
-
-    Raises:
-        InvalidLengthError: It is malformed or out of range.
-    """
+    """Parses a length or count from 0 to `limit`, or NULL_LENGTH; raises InvalidLengthError."""
     if digits == b"-1":
         return NULL_LENGTH
     if not digits.isdigit() or len(digits) > MAX_HEADER_BYTES or int(digits) > limit:
--- a/rushmux/resp/reply_reader.py
+++ b/rushmux/resp/reply_reader.py
@@ -10,7 +10,7 @@
 MAX_LINE_BYTES = 512
 """Longest line, such as an error with usage figures."""
 MAX_ARRAY_ELEMENTS = 8
-"""Elements of an array; a node's reply usually has three."""
+"""A node's reply usually has three elements."""
 
 
 class ReplyKind(StrEnum):
@@ -24,7 +24,7 @@
 
 
 KIND_BY_BYTE = {ord(kind): kind for kind in ReplyKind}
-"""Reply types by the value of the first byte."""
+"""Reply types by first byte."""
 ARRAY, BULK = ReplyKind.ARRAY, ReplyKind.BULK
 
 
@@ -32,8 +32,8 @@
     """Parses replies.
 
     Attributes:
-        bulk_length: Length of the current bulk string; None until its header was read.
-        elements: Elements of the current array read so far; None outside an array.
+        bulk_length: Length of the current bulk string; None until its header is read.
+        elements: Elements read of the current array; None outside an array.
         missing_elements: Elements of the array still to be read.
     """
 
@@ -46,11 +46,7 @@
     def next_reply(self) -> tuple[ReplyKind, bytes | list[bytes | None] | None] | None:
         """Returns kind and value of the next reply, or None if it is incomplete.
 
-        The value of a null is None, that of an array the list of its elements' values. Nested arrays are
-        rejected.
-
-        Raises:
-            ProtocolError: The input is malformed.
+        The value of a null is None, that of an array the list of its elements' values. Raises ProtocolError.
         """
         while True:
             kind, value = self._next_element()
@@ -72,7 +68,7 @@
     def _next_element(self) -> tuple[ReplyKind | None, bytes | int | None]:
         # Returns kind and value of the next element; for an array, its length; (None, None) if incomplete.
         if self.bulk_length is None:
-            # Checking the first byte rejects malformed input before the end of the line arrives.
+            # The first byte is checked before the end of the line has arrived.
             if self.unread_bytes() and self.buffer[self.position] not in KIND_BY_BYTE:
                 raise InvalidSyntaxError("unknown reply type", self.buffer[self.position])
             line = self._next_line(MAX_LINE_BYTES)
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -28,7 +28,7 @@
         return lambda event, **fields: self.rows.append((level, event, fields))
 
     def debug(self, event, **fields):
-        """Ignores debug events; there are too many to record."""
+        """Discards the event; there are too many."""
 
     def events(self):
         return [event for _, event, _ in self.rows]
@@ -63,7 +63,7 @@
         return self.clients[-1]
 
     async def client_that_sends(self, *arguments):
-        """Connects a client and writes a command, without waiting until the gateway has accepted it."""
+        """Connects a client and writes a command, without waiting for the gateway to accept it."""
         client = await self.client()
         client.send(*arguments)
         return client
@@ -79,7 +79,7 @@
 
 @pytest.fixture
 def with_fleet():
-    """Runs a scenario, a coroutine function that takes an `InProcessFleet`, on a new event loop."""
+    """Runs a coroutine function that takes an `InProcessFleet` on a new event loop."""
 
     def run_scenario(scenario, nodes=1, **options):
         async def main():
@@ -114,7 +114,7 @@
         self.file.write_text(json.dumps(raw))
 
     def write_known_endpoints(self, *rows):
-        """Replaces the configuration file's endpoint list, which may be outdated."""
+        """Replaces the configuration file's endpoint list."""
         raw = json.loads(self.file.read_text())
         raw["known"]["servers"] = rows
         self.file.write_text(json.dumps(raw))
@@ -127,7 +127,7 @@
         await self.start(*arguments or ("-m", "rushmux.gateway"))
 
     async def open(self, options, nodes=1):
-        """Starts the fake servers; `nodes` is the number of endpoints, which all point to the one node."""
+        """Starts discovery and one node; `nodes` is the number of endpoints that point to it."""
         self.options = options
         await self.node.open()
         await self.discovery.open()
@@ -158,7 +158,7 @@
 
 @pytest.fixture
 def with_process(tmp_path):
-    """Runs a scenario, a coroutine function that takes a `ProcessFleet`."""
+    """Runs a coroutine function that takes a `ProcessFleet`."""
 
     def run_scenario(scenario, arguments=("-m", "rushmux.gateway"), nodes=1, **options):
         async def main():
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -1,9 +1,9 @@
 """Shutdown: each command that is read after SIGTERM gets exactly one reply before SIGKILL may come.
 
-Failures these tests guard against: with deadlines over 3.3 s, after which operations are aborted, some were
-still in flight at SIGKILL (fleet day, seed 90002), because the abort timer had a number as its callback. On
-other days, connections in the accept queue were reset when the listener closed, and commands sent right
-after a reply were never read. The gateway counts neither, so the tests count the commands that clients wrote.
+Failures on fleet days: with deadlines over 3.3 s, after which operations are aborted, some were in flight at
+SIGKILL (seed 90002), because the abort timer had a number as its callback; connections in the accept queue
+were reset when the listener closed; commands sent right after a reply were never read. The gateway counts
+neither of the last two, so the tests count the complete commands that clients wrote.
 """
 
 import asyncio
