--- a/rushmux/gateway/client_connection.py
+++ b/rushmux/gateway/client_connection.py
@@ -184,7 +184,7 @@
 
     def _update_reading(self) -> None:
         # Reading pauses while commands can't be processed, to bound the buffer. But a close is not detected
-        # while reading is paused, and commands of a client that left would be executed; so some are read ahead.
+        # while reading is paused, and a client that left would still be served; so a part is read ahead.
         read_ahead_bytes = self.reader.unread_bytes()
         self.listener.read_ahead_bytes += read_ahead_bytes - self.read_ahead_bytes
         self.read_ahead_bytes = read_ahead_bytes
