--- a/rushmux/gateway/event_loop.py
+++ b/rushmux/gateway/event_loop.py
@@ -1,13 +1,13 @@
-"""Order of calls within the event loop."""
+"""Scheduling of callbacks relative to socket polling."""
 
 import asyncio
 from collections.abc import Callable
 
 
 def call_after_polling(loop: asyncio.AbstractEventLoop, callback: Callable, *arguments) -> None:
-    """Calls `callback` once everything that is in a socket by now has been read.
+    """Calls `callback` after all data that has already arrived was read.
 
-    When the process has stood still, the loop runs its timers before it looks at any socket; a timer that
-    judges clients by their silence must wait for that look.
+    After a suspension of the process, the loop may run expired timers before it polls the sockets. A timer
+    that closes silent clients must wait for the poll.
     """
-    loop.call_soon(loop.call_soon, callback, *arguments)  # the loop polls the sockets between the two
+    loop.call_soon(loop.call_soon, callback, *arguments)  # the loop polls the sockets between the calls
