--- a/rushmux/gateway/connection_pool.py
+++ b/rushmux/gateway/connection_pool.py
@@ -1,4 +1,4 @@
-"""All connections to storage nodes, bounded together."""
+"""The pool of all connections to storage nodes, with a common limit."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from rushmux.scheduling.driver import AttemptReply
 from rushmux.scheduling.interface import AttemptResult, EndpointState
 
-IDLE_TIMEOUT_PART = 0.9
-"""Of the time after which a node closes an idle connection: the remainder is for the way there."""
+IDLE_TIMEOUT_FRACTION = 0.9
+"""Fraction of a node's idle timeout within which a connection is reused: the rest covers network delay."""
 SWEEP_INTERVAL = 1.0
-"""Seconds between two searches for connections that have been idle for too long."""
+"""Seconds between two sweeps for connections that have been idle for too long."""
 NEVER = float("inf")
-"""The loop's time that never comes."""
+"""A loop time that is never reached."""
 
 
 class ConnectionPool:
     """All connections to nodes.
 
     Attributes:
-        partial_reply_bytes: Bytes of all incomplete replies.
-        unsolicited_replies: Replies that came with no request in flight, since the start.
+        endpoints: The connections to each node, by node id.
+        partial_reply_bytes: Bytes received of all incomplete replies.
+        unsolicited_replies: Replies received without a request in flight, since the start.
     """
 
     def __init__(
@@ -40,14 +41,14 @@
 
         Args:
             loop: The event loop.
-            max_connections: How many may be open at a time, those on their way counted.
-            connect_timeout: Seconds for a connection to come up.
+            max_connections: How many may be open or being opened at a time.
+            connect_timeout: Seconds allowed for opening a connection.
             idle_timeout: Seconds after which a node closes an idle connection.
         """
         self.loop = loop
         self.max_connections = max_connections
         self.connect_timeout = connect_timeout
-        self.max_idle_time = idle_timeout * IDLE_TIMEOUT_PART
+        self.max_idle_time = idle_timeout * IDLE_TIMEOUT_FRACTION
         self.endpoints: dict[str, EndpointPool] = {}
         self.unsolicited_replies = 0
         self.partial_reply_bytes = 0
@@ -55,11 +56,11 @@
         self.sweep_timer = loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def connection_count(self) -> int:
-        """Returns how many connections are open or on their way."""
+        """Returns how many connections are open or being opened."""
         return sum(len(endpoint.connections) + len(endpoint.dials) for endpoint in self.endpoints.values())
 
     def ensure_capacity(self) -> bool:
-        """Returns whether one more connection may be opened; at the bound, closes the longest idle one."""
+        """Returns whether one more connection may be opened; at the limit, closes the longest idle one."""
         if self.connection_count() < self.max_connections:
             return True
         idle = [endpoint.idle[0] for endpoint in self.endpoints.values() if endpoint.idle]
@@ -69,7 +70,7 @@
         return True
 
     def update_endpoints(self, is_snapshot: bool, endpoints: Sequence[DiscoveredEndpoint]) -> None:
-        """Takes in the endpoint list; `is_snapshot`: nodes that are not in it are gone."""
+        """Applies an update of the endpoint list; a snapshot also removes the nodes that are not in it."""
         listed = {endpoint.node: endpoint for endpoint in endpoints}
         if is_snapshot:
             for name in [name for name in self.endpoints if name not in listed]:
@@ -91,13 +92,13 @@
 
         Args:
             node: The node's id.
-            build_command: Returns the command's arguments, given the milliseconds that it is waited for.
-            deadline: The loop's time until which the reply is waited for.
-            on_reply: Called once, later, unless the attempt is dropped.
-            latest_start: The loop's time before which the command is written, or never.
+            build_command: Returns the command's arguments, given the milliseconds left until `deadline`.
+            deadline: Loop time until which the caller waits for the reply.
+            on_reply: Called once, after this call returned, unless the attempt is dropped.
+            latest_start: Loop time from which on the command must not be written any more.
 
         Returns:
-            The attempt; None where the node is not known: there is nothing to drop.
+            The attempt, or None if the node is unknown; `on_reply` is still called then.
         """
         endpoint = self.endpoints.get(node)
         if endpoint is None or endpoint.incarnation is None:
@@ -114,7 +115,7 @@
         return attempt
 
     def sweep(self) -> None:
-        """Closes connections that have been idle for too long, and forgets nodes that are gone."""
+        """Closes connections that have been idle for too long, and forgets removed nodes."""
         now = self.loop.time()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
         self.keep_alive.sweep()
@@ -124,7 +125,7 @@
                 del self.endpoints[name]
 
     def close(self) -> None:
-        """Closes all connections and gives up those on their way."""
+        """Closes all connections and cancels those being opened."""
         self.sweep_timer.cancel()
         for endpoint in self.endpoints.values():
             for connection in list(endpoint.connections):
--- a/rushmux/gateway/discovery.py
+++ b/rushmux/gateway/discovery.py
@@ -1,9 +1,8 @@
-"""Follows discovery: a snapshot of the endpoint list once, then a watch that is always renewed.
+"""Follows discovery: one snapshot of the endpoint list, then a watch request that is renewed all the time.
 
-Whatever a request met, a change has to be here 6 s after discovery had it and could be reached.  The worst
-that can follow one another: a response that trickles and began before the change (RESPONSE_TIMEOUT), a
-connection that does not come up (CONNECT_TIMEOUT), a response that trickles again (RESPONSE_TIMEOUT), and
-RECONNECT_DELAY before each of the last two: 5.6 s.
+Whichever requests fail, a change must arrive within 6 s after discovery has it and is reachable.  The worst
+case is 5.6 s: a slow response that began before the change (RESPONSE_TIMEOUT), a failed connect
+(CONNECT_TIMEOUT), another slow response (RESPONSE_TIMEOUT), and RECONNECT_DELAY before each of the last two.
 """
 
 from __future__ import annotations
@@ -16,25 +15,25 @@
 from rushmux.scheduling.interface import EndpointState
 
 CONNECT_TIMEOUT = 0.5
-"""Seconds for a connection to come up: the agent is on this machine."""
+"""Seconds allowed for connecting: the discovery agent runs on this machine."""
 RECONNECT_DELAY = 0.05
-"""Seconds until the next attempt: within the 200 ms in which a watch has to go on."""
+"""Seconds before reconnecting: a watch must be renewed within 200 ms."""
 MAX_FORMER_CONNECTIONS = 4
-"""Connections to former addresses whose responses may still come: SIGHUP may come often."""
-ADDRESS_CHANGED = "left for another address"
+"""Connections to former addresses kept for their responses: SIGHUP may come often."""
+ADDRESS_CHANGED = "address changed"
 
 
 class DiscoveryWatch:
-    """The watch over the endpoint list.
+    """Watches discovery's endpoint list and passes on each update.
 
     Attributes:
-        version: Of the last list received; None: a snapshot is asked for.
-        connection: To the current address, from its dial on.
-        dial_task: Opens the connection.
-        former_connections: To former addresses, the oldest first.
-        endpoints: As last passed on: what a rejected row leaves in force.
+        version: Version of the last list received; None to request a snapshot.
+        connection: The connection to the current address, established or being opened.
+        dial_task: The task that opens the connection.
+        former_connections: Connections to former addresses, the oldest first.
+        endpoints: The endpoints last passed on, which stay in force where a row is rejected.
         is_unavailable: Whether the last request failed.
-        first_response: Done when discovery first answered.
+        first_response: Done once discovery has responded.
     """
 
     def __init__(
@@ -49,10 +48,10 @@
 
         Args:
             loop: The event loop.
-            address: Where discovery is.
-            log: Takes events.
+            address: The address of discovery.
+            log: The logger.
             on_update: Called as `on_update(is_snapshot, endpoints)` with each response, in order.
-            known_endpoints: In force before the first response.
+            known_endpoints: The endpoints in force before the first response.
         """
         self.loop = loop
         self.address = address
@@ -68,7 +67,7 @@
         self.first_response: asyncio.Future = loop.create_future()
 
     def start(self) -> None:
-        """Connects, unless it is connected or closed."""
+        """Connects, unless the watch is connected, connecting or closed."""
         if self.dial_task is None and self.connection is None and not self.is_closed:
             self.dial_task = self.loop.create_task(self._dial())
 
@@ -79,15 +78,15 @@
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 await self.loop.create_connection(lambda: connection, host, port)
             self.dial_task = None
-        except (OSError, TimeoutError, ValueError) as error:  # ValueError: what can't be an address
+        except (OSError, TimeoutError, ValueError) as error:  # ValueError: an invalid address
             self.dial_task = None
-            self.on_connection_closed(connection, str(error) or "no connection")
+            self.on_connection_closed(connection, str(error) or "connect failed")
 
     def change_address(self, address: SocketAddress) -> None:
         """Connects to another address at once, with the same version, so that no change is missed.
 
-        A response of the former address that is on its way counts as received.  So the former connection is
-        kept until the new one has answered.
+        A response in flight from the former address is still accepted: that connection is kept until the new
+        one has answered.
         """
         former, self.connection = self.connection, None
         self.address = address
@@ -101,7 +100,7 @@
         self.start()
 
     def on_listing(self, connection: DiscoveryConnection, listing: EndpointListing) -> None:
-        """A response came on a connection."""
+        """Handles a response received on a connection."""
         if not self._is_news(connection, listing.version):
             return
         endpoints = listing.endpoints + self._unchanged_for_rejected(listing)
@@ -111,7 +110,8 @@
         self._remember(listing.is_snapshot, endpoints)
         if listing.is_snapshot or endpoints:
             self.on_update(listing.is_snapshot, endpoints)
-        # A lower version: discovery began to count anew, and its changes would never be newer than ours.
+        # A lower version means that discovery restarted its count: it would never see a change as newer than
+        # our version, so request a snapshot.
         is_current = listing.is_snapshot or self.version is None or listing.version >= self.version
         self.version = listing.version if is_current else None
         if connection is self.connection:
@@ -126,7 +126,7 @@
         return connection in self.former_connections and (self.version is None or version > self.version)
 
     def _unchanged_for_rejected(self, listing: EndpointListing) -> list[DiscoveredEndpoint]:
-        # One bad row must not keep the changes beside it from being taken for as long as it stands.
+        # A malformed row must not block the valid rows of the same response: its endpoint stays as known.
         if not listing.rejected:
             return []
         first = listing.rejected[0]
@@ -146,7 +146,7 @@
                 del self.endpoints[endpoint.node]
 
     def on_connection_closed(self, connection: DiscoveryConnection, reason: str, is_orderly=False) -> None:
-        """A connection ended; `is_orderly`: behind a complete response."""
+        """Reconnects after a connection ended; `is_orderly`: it ended after a complete response."""
         self.former_connections.pop(connection, None)
         if connection is not self.connection or self.is_closed:
             return
--- a/rushmux/gateway/discovery_connection.py
+++ b/rushmux/gateway/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One connection to discovery, which asks again as soon as it is answered."""
+"""One connection to discovery, which sends the next watch request as soon as a response is complete."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 PATH = "/catalog/members"
 WATCH_TIMEOUT = 1.0
-"""Seconds that a watch may wait: silence is noticed well before changes count as received."""
+"""Seconds that discovery may hold a watch request: short enough to detect silence well within 6 s."""
 FIRST_BYTE_SLACK = 0.5
-"""Seconds past that until a request with no byte of a response is given up."""
+"""Seconds after `WATCH_TIMEOUT` at which a request without any response byte is abandoned."""
 RESPONSE_TIMEOUT = 2.5
-"""Seconds from the request until its response has to be complete."""
+"""Seconds from the request until its response must be complete."""
 MAX_RESPONSE_BYTES = 8 << 20
 MILLISECONDS = 1000
 """In a second."""
 STATUS_OK = 200
 REJECTED_STATUSES = range(400, 500)
-"""They reject what was asked: the version is not known there."""
+"""Statuses that reject the request: discovery does not know the version."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
     """One connection to discovery.
 
     Attributes:
-        requested_at: The loop's time of the last request.
-        has_response_begun: Whether a part of its response has come.
-        has_peer_ended: Whether discovery has ended its sending.
+        requested_at: Loop time of the last request.
+        has_response_begun: Whether a part of its response has arrived.
+        has_peer_ended: Whether discovery has closed its sending side.
         timer: Closes the connection when the response takes too long.
     """
 
@@ -50,7 +50,7 @@
         self.has_peer_ended = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """The connection is up (`asyncio.Protocol`)."""
+        """Sends the first request once connected (`asyncio.Protocol`)."""
         self.transport = transport
         self._send_request()
 
@@ -67,18 +67,18 @@
         self.timer = loop.call_later(WATCH_TIMEOUT + FIRST_BYTE_SLACK, self.close, "silent")
 
     def data_received(self, data: bytes) -> None:
-        """A part of a response came (`asyncio.Protocol`)."""
+        """Reads a part of a response (`asyncio.Protocol`)."""
         if not self.has_response_begun:
             self.has_response_begun = True
             self.timer.cancel()
             due = self.requested_at + RESPONSE_TIMEOUT
-            self.timer = self.watch.loop.call_at(due, self.close, "an answer that trickles")
+            self.timer = self.watch.loop.call_at(due, self.close, "response not complete in time")
         self._receive(data)
 
     def eof_received(self) -> None:
-        """Discovery has ended its sending (`asyncio.Protocol`).
+        """Called when discovery closes its sending side (`asyncio.Protocol`).
 
-        A response with neither length nor chunks ends so; a reset is no end and comes as a loss only.
+        This completes a response without length or chunks.  A reset does not: it only loses the connection.
         """
         self.has_peer_ended = True
         self._receive(b"")
@@ -93,9 +93,9 @@
             self.close(str(error))
 
     def _handle_event(self, event: h11.Event) -> bool:
-        # Returns whether the connection goes on.
+        # Returns whether the connection stays open.
         if isinstance(event, h11.Response) and event.status_code != STATUS_OK:
-            # Kept, the version would be asked for over and over where it is not known.
+            # Drops the version: otherwise an unknown one would be requested over and over.
             if event.status_code in REJECTED_STATUSES and self.watch.connection is self:
                 self.watch.version = None
             self.close(f"status {event.status_code}")
@@ -103,7 +103,7 @@
         if isinstance(event, h11.Data):
             self.body += event.data
             if len(self.body) > MAX_RESPONSE_BYTES:
-                self.close("an answer too long")
+                self.close("response too long")
                 return False
         elif isinstance(event, h11.EndOfMessage):
             return self._on_response()
@@ -113,13 +113,13 @@
         return True
 
     def _on_response(self) -> bool:
-        # Takes a complete response in; returns whether the connection goes on.
+        # Handles a complete response and returns whether the connection stays open.
         body, self.body = bytes(self.body), bytearray()
         self.timer.cancel()
         try:
             listing = parse_listing(orjson.loads(body))
         except MALFORMED_JSON_ERRORS as error:
-            self.close(f"an answer that makes no sense: {error}")
+            self.close(f"malformed response: {error}")
             return False
         self.watch.on_listing(self, listing)
         if (
@@ -135,11 +135,11 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection ended (`asyncio.Protocol`)."""
+        """Called when the connection is lost (`asyncio.Protocol`)."""
         self.close("closed")
 
     def close(self, reason: str, is_orderly: bool = False) -> None:
-        """Ends the connection; `is_orderly`: behind a complete response."""
+        """Closes the connection; `is_orderly`: after a complete response."""
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
--- a/rushmux/gateway/endpoint_pool.py
+++ b/rushmux/gateway/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one storage node, and the attempts that wait for one."""
+"""The connections to one storage node and the attempts that wait for them."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     from rushmux.gateway.connection_pool import ConnectionPool
 
 MAX_WAITING = 64
-"""Attempts that wait for connections to one node: six times the design's bound."""
+"""Attempts that may wait for connections to one node: six times what the design needs."""
 
 
 class EndpointPool:
-    """A storage node's connections, and the attempts that wait for one.
+    """The connections to one storage node.
 
     Attributes:
-        incarnation: The node's address and start as last listed; None: it is gone.
-        connections: All that are up.
-        idle: Those without an attempt, the longest idle first.
-        waiting: Attempts that wait for a connection or a cooldown, the longest waiting first.
+        incarnation: The node's address and start time as last listed, or None if it was removed.
+        connections: All established connections.
+        idle: Connections without an attempt, the longest idle first.
+        waiting: Attempts that wait for a connection or the end of a cooldown, the longest waiting first.
         dials: The tasks that open connections.
     """
 
@@ -39,7 +39,7 @@
         self.dials: dict[asyncio.Task, bool] = {}
 
     def start(self, attempt: NodeAttempt) -> None:
-        """Sends an attempt on an idle connection, or has it wait for one."""
+        """Sends an attempt on an idle connection, or queues it for a connection."""
         loop = self.pool.loop
         now = loop.time()
         connection = self._acquire_idle(now)
@@ -64,7 +64,7 @@
         connection.send(attempt)
 
     def _acquire_idle(self, now: float) -> NodeConnection | None:
-        # The connection with the shortest idle time past the cooldown, if the estimate allows that time.
+        # The usable connection with the shortest idle time past the cooldown, if that is within the limits.
         for connection in reversed(list(self.idle)):
             idle_time = now - connection.idle_since
             if idle_time < REUSE_COOLDOWN or connection.is_claimed or connection.transport.is_closing():
@@ -77,9 +77,9 @@
         return None
 
     def _find_cooling(self, now: float) -> NodeConnection | None:
-        # The connection whose cooldown ends first, if no attempt waits for it.  Without this, each request
-        # within the cooldown of the last would open a connection, and each of these costs its node work,
-        # from hundreds of gateways.  An attempt waits for at most the cooldown.
+        # The connection whose cooldown ends first and that no attempt waits for.  Without it, each request
+        # within a cooldown would open a connection, which costs the node work, from hundreds of gateways.
+        # The attempt waits for at most one cooldown.
         if self.pool.keep_alive.max_idle_time <= REUSE_COOLDOWN:
             return None
         for connection in self.idle:
@@ -89,12 +89,12 @@
         return None
 
     def _on_cooldown_over(self, connection: NodeConnection) -> None:
-        # The attempt goes on the connection, or on a new one if that has ended meanwhile.
+        # Sends the waiting attempt on the connection, or on a new one if it has ended meanwhile.
         connection.is_claimed = False
         if connection in self.idle and (connection.transport.is_closing() or connection.has_unread_input()):
             connection.close()
         attempt = self._next_waiting()
-        if attempt is None:  # it was given up, or went on another connection
+        if attempt is None:  # it was dropped or sent on another connection
             return
         if connection in self.idle:
             self._send(connection, attempt, self.pool.loop.time())
@@ -105,8 +105,8 @@
             attempt.fail(AttemptResult.REJECTED)
 
     def _next_waiting(self) -> NodeAttempt | None:
-        # The longest waiting attempt that may still begin.  One whose latest start went by while it waited
-        # must not be sent: a retry would have its effect twice, or a reply come that nobody waits for.
+        # The longest waiting attempt that may still begin.  Sent after its latest start, a retry could take
+        # effect twice, or its reply would come after the caller stopped waiting.
         now = self.pool.loop.time()
         while self.waiting:
             attempt = self.waiting.popleft()
@@ -126,17 +126,17 @@
                 await self.pool.loop.create_connection(
                     lambda: NodeConnection(self, incarnation), incarnation.host, incarnation.port
                 )
-        except (OSError, TimeoutError, ValueError):  # ValueError: an address that can't be one
+        except (OSError, TimeoutError, ValueError):  # ValueError: an invalid address
             self._on_connect_failed()
 
     def _on_connect_failed(self) -> None:
-        # Each connection that does not come up fails one attempt: so many wait as were opened.
+        # Each failed connection fails one attempt, since each waiting attempt opened one.
         if self.waiting:
             self.waiting.popleft().fail(AttemptResult.CONNECT_FAILED)
 
     def on_connected(self, connection: NodeConnection) -> None:
-        """A connection came up: the longest waiting attempt goes on it."""
-        if connection.incarnation != self.incarnation:  # the node has moved, restarted or gone meanwhile
+        """Sends the longest waiting attempt on a new connection."""
+        if connection.incarnation != self.incarnation:  # the node moved, restarted or was removed meanwhile
             connection.close()
             self._on_connect_failed()
             return
@@ -148,12 +148,12 @@
             self.release(connection)
 
     def release(self, connection: NodeConnection) -> None:
-        """Makes a connection idle; it may be used again after the cooldown."""
+        """Makes a connection idle; it may be reused after the cooldown."""
         connection.idle_since = self.pool.loop.time()
         self.idle.append(connection)
 
     def forget(self, connection: NodeConnection) -> None:
-        """Removes a connection that ends."""
+        """Removes a connection that is closed."""
         self.connections.pop(connection, None)
         self.pool.partial_reply_bytes -= connection.partial_reply_bytes
         connection.partial_reply_bytes = 0
@@ -161,12 +161,12 @@
             self.idle.remove(connection)
 
     def close_idle(self) -> None:
-        """Closes all idle connections: one broke under an attempt, or the node moved or restarted."""
+        """Closes all idle connections, after one broke during an attempt or the node moved or restarted."""
         for connection in list(self.idle):
             connection.close()
 
     def update(self, endpoint: DiscoveredEndpoint | None) -> None:
-        """Takes in the node's row of the endpoint list; None: the node is gone."""
+        """Applies the node's row of the endpoint list, or None if the node was removed."""
         is_removed = endpoint is None or endpoint.state == EndpointState.REMOVED
         incarnation = None
         if not is_removed:
@@ -175,7 +175,7 @@
             self.close_idle()
         self.incarnation = incarnation
         if is_removed or endpoint.state != EndpointState.READY:
-            # Attempts that wait for a connection would be sent past the grace period of a draining node.
+            # Attempts that wait for a connection could be sent after a draining node's grace period.
             while self.waiting:
                 attempt = self.waiting.popleft()
                 self.pool.loop.call_soon(attempt.fail, AttemptResult.CONNECT_FAILED)
@@ -187,5 +187,5 @@
             self.idle[0].close()
 
     def is_unused(self) -> bool:
-        """Whether the node is gone and nothing of it is left."""
+        """Returns whether the node was removed and no connection or attempt of it is left."""
         return self.incarnation is None and not (self.connections or self.dials or self.waiting)
--- a/rushmux/gateway/endpoints.py
+++ b/rushmux/gateway/endpoints.py
@@ -1,4 +1,4 @@
-"""Rows of discovery's endpoint list, as values.  No I/O."""
+"""Parses discovery's endpoint list.  No I/O."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -10,13 +10,13 @@
 MILLISECONDS = 1000
 """In a second."""
 STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
-"""States as discovery writes them."""
+"""Endpoint states by discovery's names for them."""
 MALFORMED_JSON_ERRORS = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)
-"""What reading a value out of JSON may raise where that has another form than expected."""
+"""What reading values out of JSON of an unexpected form may raise."""
 
 
 class SocketAddress(NamedTuple):
-    """Where a TCP server listens."""
+    """Host and port of a TCP server."""
 
     host: str
     port: int
@@ -35,19 +35,19 @@
     cell: int
     state: EndpointState
     started_at: float
-    """Unix time in seconds; 0: long ago."""
+    """Unix time in seconds; 0 if it was long ago."""
 
 
 class RejectedRow(NamedTuple):
-    """A row that makes no sense."""
+    """A malformed row."""
 
     node: str | None
-    """Its id; None: even that can't be read."""
+    """Its node's id, or None if that can't be read either."""
     reason: str
 
 
 class EndpointRows(NamedTuple):
-    """The rows of a list, those that make sense and the others."""
+    """The rows of a list: the valid and the malformed ones."""
 
     endpoints: list[DiscoveredEndpoint]
     rejected: list[RejectedRow]
@@ -58,25 +58,29 @@
 
     version: int
     is_snapshot: bool
-    """Whether it is the complete list; else the changes since a version."""
+    """Whether this is the complete list rather than the changes since a version."""
     endpoints: list[DiscoveredEndpoint]
     rejected: list[RejectedRow]
 
 
 def parse_address(text: str) -> SocketAddress:
-    """Returns host and port of `host:port`; InvalidAddressError."""
+    """Returns host and port of `host:port`.
+
+    Raises:
+        InvalidAddressError: The text is not of this form.
+    """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise InvalidAddressError(f"{text!r} is no address and port", text)
+        raise InvalidAddressError(f"{text!r} is not of the form host:port", text)
     return SocketAddress(host, int(port))
 
 
 def parse_endpoint(row: dict) -> DiscoveredEndpoint:
-    """Returns one row; one of MALFORMED_JSON_ERRORS where it makes no sense."""
+    """Returns the endpoint of one row; raises one of MALFORMED_JSON_ERRORS if the row is malformed."""
     host, port = parse_address(row["addr"])
     state, node = row["state"], row["id"]
     if state not in STATES or not isinstance(node, str) or not node:
-        raise InvalidEndpointError(f"a row with id {node!r} in state {state!r}", row)
+        raise InvalidEndpointError(f"row with invalid id {node!r} or state {state!r}", row)
     return DiscoveredEndpoint(
         node,
         host,
@@ -89,7 +93,7 @@
 
 
 def parse_endpoints(rows: Iterable) -> EndpointRows:
-    """Returns the rows that make sense, and why the others don't."""
+    """Separates valid rows from malformed ones."""
     endpoints, rejected = [], []
     for row in rows:
         try:
@@ -102,11 +106,11 @@
 
 
 def parse_listing(body: dict) -> EndpointListing:
-    """Returns a response's content.
+    """Parses a response's body.
 
     Raises:
-        InvalidEndpointError: Every row makes no sense; such a list changes nothing.
-        LookupError, TypeError, ValueError, AttributeError, ArithmeticError: It has another form.
+        InvalidEndpointError: All rows are malformed; such a list must change nothing.
+        LookupError, TypeError, ValueError, AttributeError, ArithmeticError: The body has another form.
     """
     endpoints, rejected = parse_endpoints(body["servers"])
     if rejected and not endpoints:
--- a/rushmux/gateway/keep_alive.py
+++ b/rushmux/gateway/keep_alive.py
@@ -1,27 +1,30 @@
-"""Estimates for how long a connection to a node may be idle and still be used again."""
+"""Estimates how long a connection to a node may be idle and still be reused."""
 
 REUSE_COOLDOWN = 0.02
-"""Seconds after a reply until a connection is used again: an unsolicited reply arrives before."""
+"""Seconds after a reply before the connection is reused, so that an unsolicited reply is seen first."""
 BIN_COUNT = 12
-"""Bins of idle times: the first ends at `REUSE_COOLDOWN`, each next one is twice as long."""
+"""Histogram bins: the first ends at an idle time of `REUSE_COOLDOWN`, each further one at twice the last."""
 MIN_RESETS = 3
-"""Resets in a bin below which chance explains them."""
+"""Fewer resets than this in a bin count as chance."""
 EXCESS_RESET_RATIO = 0.1
-"""What a bin's ratio of resets may exceed twice the ratio on new connections by."""
+"""A bin's reset ratio may exceed twice the ratio of new connections by this much."""
 DECAY_SWEEPS = 10
-"""Sweeps between two halvings of all counts: an idle time once found too long is tried again later."""
+"""All counts are halved after this many sweeps, so that an idle time found too long is tried again later."""
 UNLIMITED = float("inf")
 
 
 class KeepAliveEstimator:
-    """Learns from resets how long an idle connection stays usable: two small histograms by idle time.
+    """Learns from resets how long an idle connection stays usable.
 
-    A middlebox may forget an idle connection and reset it at the next request, which may have run.  A node
-    may close idle connections early.  The cost of a wrong estimate: resets by chance close good
-    connections, and each new one costs its node work.
+    A middlebox may forget an idle connection and reset it at the next request, which may have run; a node may
+    close idle connections early.  Too low an estimate closes good connections, and each new one costs the
+    node work.
 
     Attributes:
-        max_idle_time: Seconds of idle time from which on a connection is not used again.
+        uses: Uses of connections, by bin of idle time.
+        resets: Those uses that ended in a reset, by bin of idle time.
+        max_idle_time: Seconds of idle time after which a connection is not reused.
+        sweeps: Calls of `sweep` so far.
     """
 
     def __init__(self):
@@ -32,11 +35,11 @@
 
     @staticmethod
     def bin_index(idle_time: float) -> int:
-        """Returns the bin of an idle time in seconds; 0 for a connection that is new."""
+        """Returns the bin of an idle time in seconds; 0 for a new connection."""
         return min(BIN_COUNT - 1, int(idle_time / REUSE_COOLDOWN).bit_length())
 
     def record_use(self, idle_time: float, was_reset: bool) -> None:
-        """Counts a use of a connection that had been idle for `idle_time` seconds."""
+        """Counts one use of a connection that had been idle for `idle_time` seconds."""
         index = self.bin_index(idle_time)
         self.uses[index] += 1
         if was_reset:
@@ -44,7 +47,7 @@
             self._update_estimate()
 
     def sweep(self) -> None:
-        """Decays the counts; called at regular intervals."""
+        """Decays the counts; to be called at regular intervals."""
         self.sweeps += 1
         if self.sweeps % DECAY_SWEEPS == 0:
             self.uses = [count / 2 for count in self.uses]
--- a/rushmux/gateway/node_connection.py
+++ b/rushmux/gateway/node_connection.py
@@ -1,6 +1,6 @@
 """A connection to a storage node and the one attempt in flight on it.
 
-An attempt that is given up closes its own connection and nothing else.  Nothing is ever sent twice here.
+Dropping an attempt closes its own connection only.  No command is sent twice at this level.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     from rushmux.gateway.endpoint_pool import EndpointPool
 
 MAX_PARTIAL_REPLY_BYTES = 24 << 20
-"""Bytes of all incomplete replies together: sixty of the largest seen."""
+"""Bytes of all incomplete replies together: enough for sixty of the largest replies seen."""
 MILLISECONDS = 1000
 """In a second."""
 
@@ -30,18 +30,19 @@
     host: str
     port: int
     started_at: float
-    """Unix time in seconds; 0: long ago."""
+    """Unix time in seconds; 0 if it was long ago."""
 
 
 class NodeAttempt:
-    """An attempt on its way to a node (`scheduling.driver.AttemptHandle`).
+    """An attempt that waits for a connection or is in flight (`scheduling.driver.AttemptHandle`).
 
-    Whether it may still begin is asked once, at the instant its bytes are written
-    (`EndpointPool._next_waiting`, `NodeConnection.send`): one that was dropped does not wait any more.
+    Whether it may still begin is checked once, right before its command is written
+    (`EndpointPool._next_waiting`, `NodeConnection.send`).  A dropped attempt is no longer in the queue.
 
     Attributes:
-        deadline: The loop's time until which the reply is waited for.
-        latest_start: The loop's time from which on it must not begin.
+        deadline: Loop time until which the caller waits for the reply.
+        latest_start: Loop time from which on it must not begin.
+        written: Whether its command has been passed to the transport.
     """
 
     __slots__ = ("build_command", "connection", "deadline", "endpoint", "latest_start", "on_reply", "written")
@@ -65,11 +66,11 @@
 
     @property
     def begun(self) -> bool:
-        """Whether its last byte has left this process; if not, an attempt given up now never runs."""
+        """Whether its last byte has left this process; if not, an attempt dropped now never runs."""
         return self.written and not (self.connection is not None and self.connection.has_unsent_bytes)
 
     def drop(self) -> None:
-        """Gives it up: one not begun never is; else its connection is closed, at which the node stops."""
+        """Abandons the attempt: it is not sent any more, or the node stops it as its connection closes."""
         self.on_reply = None
         if self.connection is not None:
             self.connection.close()
@@ -79,7 +80,7 @@
     cancel = drop
 
     def finish(self, reply: AttemptReply) -> None:
-        """Hands the reply to who waits for it, unless the attempt was dropped."""
+        """Passes the reply to `on_reply`, unless the attempt was dropped."""
         on_reply = self.on_reply
         self.on_reply = None
         self.connection = None
@@ -87,7 +88,7 @@
             on_reply(reply)
 
     def fail(self, result: AttemptResult) -> None:
-        """Finishes it with a result that no node sent."""
+        """Finishes the attempt with a result that did not come from the node."""
         self.finish(AttemptReply(result))
 
 
@@ -95,12 +96,12 @@
     """A connection to a node.
 
     Attributes:
-        incarnation: The start of the node that it was opened to.
+        incarnation: The node's incarnation that it was opened to.
         attempt: The attempt in flight on it.
-        has_unsent_bytes: Whether bytes that were written have not left this process.
-        partial_reply_bytes: Bytes of a reply that is incomplete.
-        idle_since: The loop's time at which it was last replied on.
-        last_idle_time: Seconds for which it had been idle before its last use; 0: it was new.
+        has_unsent_bytes: Whether bytes of a written command have not left this process.
+        partial_reply_bytes: Bytes received of an incomplete reply.
+        idle_since: Loop time since which it has been idle.
+        last_idle_time: Seconds that it had been idle before its last use; 0 if it was new.
         is_claimed: Whether an attempt waits for the end of its cooldown.
     """
 
@@ -117,21 +118,21 @@
         self.is_claimed = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """The connection is up (`asyncio.Protocol`)."""
+        """Called when the connection is established (`asyncio.Protocol`)."""
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # `pause_writing` is called for each byte that waits
+        transport.set_write_buffer_limits(high=0)  # `pause_writing` is called as soon as any byte is buffered
         self.endpoint.on_connected(self)
 
     def pause_writing(self) -> None:
-        """Bytes wait in the write buffer (`asyncio.Protocol`)."""
+        """Called when bytes are left in the write buffer (`asyncio.Protocol`)."""
         self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """The write buffer is empty (`asyncio.Protocol`)."""
+        """Called when the write buffer is empty again (`asyncio.Protocol`)."""
         self.has_unsent_bytes = False
 
     def send(self, attempt: NodeAttempt) -> None:
-        """Writes an attempt's command, which tells the node the rest of the time it is waited for."""
+        """Writes an attempt's command, which tells the node how much time is left."""
         self.attempt = attempt
         attempt.connection = self
         attempt.written = True
@@ -140,10 +141,10 @@
         self.transport.write(encode_command(attempt.build_command(milliseconds)))
 
     def has_unread_input(self) -> bool:
-        """Whether the socket holds something not read yet: an unsolicited reply, an end or a reset.
+        """Returns whether the socket has unread input: an unsolicited reply, end of stream or a reset.
 
-        When the process stood still, the cooldown is over by the clock although the loop has not looked at
-        the socket since; a late unsolicited reply would be taken for the next request's.
+        If the process was suspended, the cooldown may be over although the loop has not polled the socket
+        since; a late unsolicited reply would then be taken for the reply to the next request.
         """
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -153,7 +154,7 @@
         """Reads the reply of the attempt in flight (`asyncio.Protocol`)."""
         pool = self.endpoint.pool
         if self.attempt is None:
-            # Kept, it would be taken for the next request's reply.
+            # On a reused connection it would be taken for the reply to the next request.
             pool.unsolicited_replies += 1
             self.close()
             return
@@ -168,7 +169,7 @@
         if reply is not None:
             self._on_reply(*reply)
         elif pool.partial_reply_bytes > MAX_PARTIAL_REPLY_BYTES:
-            # Many values that keep coming, each within its own bound, would exhaust the process's memory.
+            # Many incomplete values, each within its own limit, could together exhaust memory.
             self._complete(replies.FAILED_REPLY)
 
     def _on_reply(self, kind: ReplyKind, value: bytes | list | None) -> None:
@@ -178,7 +179,7 @@
         self._complete(reply, not has_unsolicited and replies.is_reusable(reply.result, kind, value))
 
     def _complete(self, reply: AttemptReply, is_reusable: bool = False) -> None:
-        # A reusable connection is still closed when its node has moved or restarted meanwhile.
+        # A reusable connection is closed all the same if its node has moved or restarted meanwhile.
         attempt, self.attempt = self.attempt, None
         pool = self.endpoint.pool
         pool.partial_reply_bytes -= self.partial_reply_bytes
@@ -200,13 +201,13 @@
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection ended (`asyncio.Protocol`): an attempt in flight on it has failed."""
+        """Fails the attempt in flight when the connection is lost (`asyncio.Protocol`)."""
         self.endpoint.forget(self)
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return
         self.endpoint.pool.keep_alive.record_use(self.last_idle_time, was_reset=True)
         self.endpoint.close_idle()
-        # A command that had not left this process completely can't have run.
+        # A command that had not completely left this process can't have run.
         unsent = self.has_unsent_bytes
         attempt.fail(AttemptResult.CONNECT_FAILED if unsent else AttemptResult.CONNECTION_LOST)
