--- a/tests/gateway/test_connection_pool.py
+++ b/tests/gateway/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool: results of attempts by what happens to their connection, reuse, bounds."""
+"""The connection pool: results of attempts, reuse of connections, limits."""
 
 import asyncio
 import time
@@ -14,7 +14,7 @@
 
 
 def run_scenario(scenario, **settings):
-    """Runs a scenario on a pool with one node; its `run` makes an attempt and returns result and value."""
+    """Runs a scenario on a pool with one node; its `run` makes one attempt and returns result and value."""
 
     async def main():
         loop = asyncio.get_running_loop()
@@ -76,7 +76,7 @@
     assert run_scenario(scenario) == (expected, 1, True, 0)
 
 
-def test_a_node_that_refuses_connections_or_is_gone_fails_the_connect():
+def test_a_node_that_refuses_connections_or_was_removed_fails_the_connect():
     async def scenario(pool, node, row, run):
         node.close()
         refused = await run()
@@ -90,7 +90,7 @@
     )
 
 
-def test_a_connection_that_does_not_come_up_fails_within_the_connect_timeout():
+def test_a_connection_that_is_not_established_fails_within_the_connect_timeout():
     async def scenario(pool, node, row, run):
         async def slow(*_):
             await asyncio.sleep(5)
@@ -118,7 +118,7 @@
 
 
 def test_an_attempt_within_the_cooldown_of_a_connection_waits_for_it():
-    """Seen on a fleet day: 1,498 of 10,244 new connections were opened within 20 ms of a reply."""
+    """Without this, 1,498 of 10,244 new connections of a fleet day were opened within 20 ms of a reply."""
 
     async def scenario(pool, node, row, run):
         await run(1)
@@ -137,10 +137,10 @@
 def test_a_connection_that_ends_in_its_cooldown_is_replaced_for_the_waiting_attempt():
     async def scenario(pool, node, row, run):
         await run(1)
-        waits = asyncio.ensure_future(run(2))
+        waiting = asyncio.ensure_future(run(2))
         await asyncio.sleep(0)
         next(iter(node.connections)).transport.abort()
-        return await waits, node.connections_opened
+        return await waiting, node.connections_opened
 
     assert run_scenario(scenario) == ((AttemptResult.SUCCEEDED, b"data"), 2)
 
@@ -148,15 +148,15 @@
 def test_an_attempt_that_waits_for_a_cooldown_is_dropped_or_failed_unsent():
     async def scenario(pool, node, row, run):
         await run(1)
-        given_up = await run(2, until=0.005)
+        dropped = await run(2, until=0.005)
         await asyncio.sleep(REUSE_COOLDOWN * 2)
         await run(3)
-        waits = asyncio.ensure_future(run(4))
+        waiting = asyncio.ensure_future(run(4))
         await asyncio.sleep(0)
         pool.update_endpoints(False, [row._replace(state=EndpointState.DRAINING)])
         return (
-            given_up,
-            await waits,
+            dropped,
+            await waiting,
             [arguments[2][-1:] for arguments in node.received],
             node.connections_opened,
         )
@@ -209,11 +209,11 @@
         node.script = lambda arguments: ["close"]
         await asyncio.sleep(REUSE_COOLDOWN * 2)
         await run(5)
-        broke = pool.connection_count()
+        after_break = pool.connection_count()
         node.script = lambda arguments: [success_reply()]
         await run(6)
         pool.update_endpoints(False, [row._replace(started_at=99.0)])
-        return first, broke, pool.connection_count()
+        return first, after_break, pool.connection_count()
 
     assert run_scenario(scenario) == (4, 0, 0)
 
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize("malformed", [b"*0\r\n", b"*1\r\n$1\r\nx\r\n", b":5\r\n", b"-xx\r\n", b"$-1\r\n"])
-def test_a_connection_that_brought_a_malformed_reply_is_closed(malformed):
+def test_a_malformed_reply_closes_its_connection(malformed):
     async def scenario(pool, node, row, run):
         node.script = lambda arguments: [malformed]
         outcome = await run(1)
@@ -257,17 +257,17 @@
 
 
 def test_a_command_that_was_not_sent_completely_counts_as_connect_failed():
-    """A node that reads nothing: the command stays in our buffer, and then the connection breaks."""
+    """The node reads nothing, so the command stays in our buffer until the connection breaks."""
 
     async def scenario(pool, node, row, run):
-        loop, held, result = pool.loop, [], pool.loop.create_future()
+        loop, transports, result = pool.loop, [], pool.loop.create_future()
 
-        class Deaf(asyncio.Protocol):
+        class NonReadingNode(asyncio.Protocol):
             def connection_made(self, transport):
                 transport.pause_reading()
-                held.append(transport)
+                transports.append(transport)
 
-        server = await loop.create_server(Deaf, "127.0.0.1", 0)
+        server = await loop.create_server(NonReadingNode, "127.0.0.1", 0)
         pool.update_endpoints(True, [row._replace(port=server.sockets[0].getsockname()[1])])
         pool.start_attempt(
             "s",
@@ -276,7 +276,7 @@
             on_reply=result.set_result,
         )
         await asyncio.sleep(0.1)
-        held[0].abort()
+        transports[0].abort()
         server.close()
         return (await result)[0]
 
@@ -316,9 +316,11 @@
         node.script = lambda arguments: [success_reply()]
         return sorted(result for result, _ in outcomes), await run(9), pool.partial_reply_bytes
 
-    results, after, held = run_scenario(scenario)
+    results, after, partial_bytes = run_scenario(scenario)
     assert (
-        results.count(AttemptResult.FAILED) >= 4 and after == (AttemptResult.SUCCEEDED, b"data") and held == 0
+        results.count(AttemptResult.FAILED) >= 4
+        and after == (AttemptResult.SUCCEEDED, b"data")
+        and partial_bytes == 0
     )
 
 
--- a/tests/gateway/test_discovery_deadline.py
+++ b/tests/gateway/test_discovery_deadline.py
@@ -1,6 +1,6 @@
-"""A change counts as received 6 s after discovery had it and could be reached, whatever failed before.
+"""A change arrives within 6 s after discovery has it and is reachable, whatever failed before.
 
-Each scenario has one request fail in its way and then expects the change.
+Each scenario makes one request fail in some way and then expects the change.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 from rushmux.resp import encode_command
 from rushmux.standins.platform import FakeDiscovery, read_command
 
-RECEIVED_WITHIN = 6.0  # seconds until a change counts as received
-CORE = 0.3  # seconds that a gateway with a tenth of a core may need for a snapshot
+RECEIVED_WITHIN = 6.0  # seconds within which a change must arrive
+PROCESSING_TIME = 0.3  # seconds that a gateway with a tenth of a core may need for a snapshot
 
 
 def row(name, state="up", **more):
@@ -33,7 +33,7 @@
     }
 
 
-def head(text, status="200 OK"):
+def response_head(text, status="200 OK"):
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(text)}\r\n\r\n".encode()
 
 
@@ -48,7 +48,7 @@
 
 
 class ReceivedStates:
-    """What a watch passed on: each node's state."""
+    """The state of each node as passed on by a watch."""
 
     def __init__(self):
         self.states, self.updated = {}, asyncio.Event()
@@ -89,8 +89,8 @@
     return asyncio.run(main())
 
 
-def once(source, steps):
-    """The next response follows these steps, those after it are as usual."""
+def script_next_response(source, steps):
+    """Makes the next response follow these steps; later ones are as usual."""
 
     def script(target, text):
         source.script = None
@@ -99,13 +99,13 @@
     source.script = script
 
 
-def test_the_worst_sequence_of_failures_is_over_in_time():
-    """A response that trickles and began before the change, a failed connect, a response that trickles."""
+def test_the_worst_sequence_of_failures_takes_less_than_the_limit():
+    """A slow response that began before the change, a failed connect, and another slow response."""
     reconnect = discovery.CONNECT_TIMEOUT + 2 * discovery.RECONNECT_DELAY
     response = discovery_connection.RESPONSE_TIMEOUT
     silence = discovery_connection.WATCH_TIMEOUT + discovery_connection.FIRST_BYTE_SLACK
-    assert response + reconnect + response + CORE <= RECEIVED_WITHIN
-    assert silence + reconnect + response + CORE <= RECEIVED_WITHIN
+    assert response + reconnect + response + PROCESSING_TIME <= RECEIVED_WITHIN
+    assert silence + reconnect + response + PROCESSING_TIME <= RECEIVED_WITHIN
 
 
 @pytest.mark.parametrize("changes", [1, 3])
@@ -117,13 +117,13 @@
             await received.until(f"n{number}", "ready", 2)
         return watch.is_unavailable
 
-    assert run_scenario(scenario) is False  # an orderly end is no fault
+    assert run_scenario(scenario) is False  # an orderly end is not a failure
 
 
 def test_a_reset_does_not_end_a_response_without_length():
     async def scenario(source, watch, received):
-        spoilt = json.dumps({"version": 99, "full": True, "servers": [row("z")]}).encode()
-        once(source, lambda text: [b"HTTP/1.1 200 OK\r\n\r\n" + spoilt, 0.05, "reset"])
+        incomplete = json.dumps({"version": 99, "full": True, "servers": [row("z")]}).encode()
+        script_next_response(source, lambda text: [b"HTTP/1.1 200 OK\r\n\r\n" + incomplete, 0.05, "reset"])
         source.update(row("a", "draining"))
         await received.until("a", "draining", 2)
         return "z" in received.states, watch.version
@@ -131,15 +131,15 @@
     assert run_scenario(scenario) == (False, 3)
 
 
-def test_one_malformed_row_leaves_its_node_in_force_and_the_others_are_taken():
+def test_one_malformed_row_keeps_its_node_as_known_and_the_other_rows_apply():
     async def scenario(source, watch, received):
         source.update(row("a", "draining"), row("b", addr=7), row("c"))
         await received.until("a", "draining", 2)
         await received.until("c", "ready", 2)
         changes = dict(received.states)
-        source.version, source.changes = 1, []  # and so in a snapshot
+        source.version, source.changes = 1, []  # the same in a snapshot
         source.rows["d"] = row("d")
-        once(source, lambda text: [head(b"", "410 Gone")])
+        script_next_response(source, lambda text: [response_head(b"", "410 Gone")])
         source.update(row("d"))
         await received.until("d", "ready", 2)
         return changes, received.states
@@ -166,7 +166,9 @@
 def test_a_malformed_row_beside_a_good_one_is_skipped(bad):
     async def scenario(source, watch, received):
         body = json.dumps({"version": 9, "full": False, "servers": [bad, row("c")]}).encode()
-        source.script = lambda target, text: [head(body) + body] if "after=2" in target else [0.05, "close"]
+        source.script = lambda target, text: (
+            [response_head(body) + body] if "after=2" in target else [0.05, "close"]
+        )
         source.update(row("a"))
         await received.until("c", "ready", 2)
         return received.states
@@ -178,7 +180,7 @@
 def test_a_status_that_rejects_our_version_leads_to_a_snapshot(status):
     async def scenario(source, watch, received):
         source.script = lambda target, text: (
-            [head(b"", status)] if "after=2" in target else [head(text) + text]
+            [response_head(b"", status)] if "after=2" in target else [response_head(text) + text]
         )
         source.update(row("a", "draining"))
         await received.until("a", "draining", 2)
@@ -189,7 +191,7 @@
 
 def test_a_server_error_keeps_the_version():
     async def scenario(source, watch, received):
-        once(source, lambda text: [head(b"", "503 Service Unavailable")])
+        script_next_response(source, lambda text: [response_head(b"", "503 Service Unavailable")])
         source.update(row("a", "draining"))
         await received.until("a", "draining", 2)
         return [target for _, target in source.requests].count(discovery_connection.PATH)
@@ -206,33 +208,36 @@
         source.update(row("a", "draining"))
         source.changed.set()
         await received.until("a", "draining", 3)
-        before = source.version
+        restarted_version = source.version
         source.update(row("b", "draining"))
         await received.until("b", "draining", 2)
-        return before
+        return restarted_version
 
     assert run_scenario(scenario) == 1
 
 
-def test_a_response_that_trickles_is_given_up_and_the_change_received_in_time():
+def test_a_response_in_single_bytes_is_abandoned_and_the_change_received_in_time():
     async def scenario(source, watch, received):
-        once(source, lambda text: [head(text)] + [part for byte in text for part in (bytes([byte]), 0.5)])
+        script_next_response(
+            source,
+            lambda text: [response_head(text)] + [part for byte in text for part in (bytes([byte]), 0.5)],
+        )
         source.update(row("a", "draining"))
-        await received.until("a", "draining", RECEIVED_WITHIN - CORE)
+        await received.until("a", "draining", RECEIVED_WITHIN - PROCESSING_TIME)
 
     run_scenario(scenario)
 
 
-def test_a_response_that_comes_slowly_and_completely_is_taken():
+def test_a_slow_but_complete_response_is_accepted():
     async def scenario(source, watch, received):
-        source.script = lambda target, text: [head(text) + text[:5], 1.8, text[5:]]
+        source.script = lambda target, text: [response_head(text) + text[:5], 1.8, text[5:]]
         source.update(row("a", "draining"))
-        await received.until("a", "draining", RECEIVED_WITHIN - CORE)
+        await received.until("a", "draining", RECEIVED_WITHIN - PROCESSING_TIME)
 
     run_scenario(scenario)
 
 
-def test_a_connection_that_never_comes_up_is_given_up(monkeypatch):
+def test_a_connection_that_is_never_established_is_abandoned(monkeypatch):
     async def scenario(source, watch, received):
         loop, connect, begun = watch.loop, watch.loop.create_connection, asyncio.Event()
 
@@ -242,7 +247,7 @@
             await asyncio.sleep(60)
 
         loop.create_connection = never
-        once(source, lambda text: ["reset"])
+        script_next_response(source, lambda text: ["reset"])
         source.update(row("a", "draining"))
         await asyncio.wait_for(begun.wait(), 2)
         await received.until("a", "draining", discovery.CONNECT_TIMEOUT + 1)
@@ -250,7 +255,7 @@
     run_scenario(scenario)
 
 
-def test_an_invalid_address_is_replaced_by_a_good_one():
+def test_an_invalid_address_is_replaced_by_a_valid_one():
     async def scenario(source, watch, received):
         watch.change_address(SocketAddress("x" * 70 + ".example", 1))
         await asyncio.sleep(0.2)
@@ -261,20 +266,20 @@
     run_scenario(scenario)
 
 
-def test_a_response_in_flight_when_the_address_changes_is_taken_while_the_new_one_is_silent():
+def test_a_response_in_flight_when_the_address_changes_is_accepted_while_the_new_one_is_silent():
     async def scenario(source, watch, received):
         new, go = FakeDiscovery(), asyncio.Event()
         await new.open()
         new.is_silent = True
-        asked = asyncio.Event()
+        requested = asyncio.Event()
 
         def script(target, text):
-            asked.set()
-            return [head(text) + text[:9], go, text[9:]]
+            requested.set()
+            return [response_head(text) + text[:9], go, text[9:]]
 
         source.script = script
         source.update(row("a", "draining"))
-        await asyncio.wait_for(asked.wait(), 2)
+        await asyncio.wait_for(requested.wait(), 2)
         await asyncio.sleep(0.05)
         watch.change_address(SocketAddress("127.0.0.1", new.port))
         watch.change_address(SocketAddress("127.0.0.1", new.port))  # SIGHUP twice
@@ -283,7 +288,7 @@
         new.version, new.rows = source.version, dict(source.rows)
         new.update(row("b", "draining"))
         new.is_silent = False
-        await received.until("b", "draining", RECEIVED_WITHIN - CORE)
+        await received.until("b", "draining", RECEIVED_WITHIN - PROCESSING_TIME)
         await asyncio.sleep(0.1)
         calls = len(source.requests)
         new.close()
@@ -305,9 +310,9 @@
     assert run_scenario(scenario) <= discovery.MAX_FORMER_CONNECTIONS
 
 
-# The program's own process.
+# Tests of the gateway process.
 
-# The first list is waited for longer than a test takes.
+# The process waits for the first list for longer than a test takes.
 LONG_FIRST_LIST_TIMEOUT = (
     "import runpy, rushmux.gateway.server as server\n"
     "server.FIRST_LIST_TIMEOUT = 60.0\n"
@@ -316,11 +321,11 @@
 
 
 def test_no_client_is_accepted_before_the_first_list_is_received(with_process):
-    """The file's list is old: discovery's counts as received from the first moment of a process."""
+    """The list in the configuration file is old: a gateway must not serve from it if discovery responds."""
 
     async def scenario(fleet):
         go = asyncio.Event()
-        fleet.discovery.script = lambda target, text: [go, head(text) + text]
+        fleet.discovery.script = lambda target, text: [go, response_head(text) + text]
         fleet.discovery.update(fleet.node.row("s0", 0, "draining"))
         fleet.write_known(fleet.node.row("s0", 0))
         await fleet.restart("-c", LONG_FIRST_LIST_TIMEOUT)
@@ -335,8 +340,8 @@
         client.writer.write(encode_command([b"PING"]) + encode_command(read_command(1)))
         return [await client.reply() for _ in range(2)], fleet.node.received
 
-    (pong, answer), got = with_process(scenario)
-    assert pong == ("+", b"PONG") and answer[0] == "-" and not got
+    (pong, answer), received = with_process(scenario)
+    assert pong == ("+", b"PONG") and answer[0] == "-" and not received
 
 
 def test_a_silent_discovery_delays_the_start_by_a_second_at_most(with_process):
@@ -353,10 +358,10 @@
         return loop.time() - asked_at, await client.request(*read_command(1))
 
     took, answer = with_process(scenario)
-    assert took < 4 and answer == ("$", b"data")  # the stand-in is silent for good
+    assert took < 4 and answer == ("$", b"data")  # the fake discovery never responds
 
 
-def test_a_stop_before_it_is_ready_ends_it_with_no_client_accepted(with_process):
+def test_a_gateway_stopped_before_it_is_ready_exits_without_accepting_clients(with_process):
     async def scenario(fleet):
         fleet.discovery.is_silent = True
         await fleet.restart("-c", LONG_FIRST_LIST_TIMEOUT)
@@ -373,7 +378,7 @@
 
 
 async def change_discovery(fleet):
-    """Another discovery, named by a good file and SIGHUP, once the gateway has asked it."""
+    """Starts another discovery, reloads the gateway with its address and waits for the first request."""
     other = FakeDiscovery()
     await other.open()
     other.update(*fleet.discovery.rows.values())
@@ -389,9 +394,9 @@
 def test_after_a_malformed_configuration_the_next_one_is_loaded(with_process, limits):
     async def scenario(fleet):
         client = await fleet.client()
-        torn = json.loads(fleet.file.read_text())
-        torn["limits"] = limits
-        fleet.file.write_text(json.dumps(torn))
+        malformed = json.loads(fleet.file.read_text())
+        malformed["limits"] = limits
+        fleet.file.write_text(json.dumps(malformed))
         fleet.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.2)
         other = await change_discovery(fleet)
@@ -405,15 +410,15 @@
 
 
 def test_after_an_unexpected_error_in_a_reload_the_next_one_is_loaded(with_process):
-    """A fault of ours while the file is read must not end the reading of files."""
+    """A bug that shows while a file is read must not prevent later reloads."""
     code = (
         "import runpy, rushmux.gateway.config as config\n"
-        "good, calls = config.load_config, []\n"
+        "original, calls = config.load_config, []\n"
         "def load_config(path):\n"
         "    calls.append(path)\n"
         "    if len(calls) == 2:\n"
-        "        raise RuntimeError('nobody thought of it')\n"
-        "    return good(path)\n"
+        "        raise RuntimeError('unexpected')\n"
+        "    return original(path)\n"
         "config.load_config = load_config\n"
         "runpy.run_module('rushmux.gateway', run_name='__main__')\n"
     )
@@ -444,8 +449,8 @@
     assert with_process(scenario) == (2, True, False)
 
 
-def test_the_stand_in_for_discovery_resets_as_the_system_does():
-    """What the tests above lean on: a reset reaches the other end as a reset, not as an end."""
+def test_the_fake_discovery_sends_real_resets():
+    """The tests above rely on this: the peer sees a reset, not the end of the stream."""
 
     async def scenario(source, watch, received):
         source.script = lambda target, text: [b"HTTP/1.1 200 OK\r\n\r\n{", 0.02, "reset"]
--- a/tests/gateway/test_discovery_watch.py
+++ b/tests/gateway/test_discovery_watch.py
@@ -25,7 +25,7 @@
 
 class Log:
     def info(self, event, **fields):
-        """Not checked here."""
+        """Discards the event."""
 
     warning = info
 
@@ -60,7 +60,7 @@
 SNAPSHOT = (True, [("a", "ready"), ("b", "ready")])
 
 
-def test_the_snapshot_then_each_change_with_less_than_200_ms_between_requests(monkeypatch):
+def test_a_snapshot_then_each_change_is_passed_on_with_less_than_200_ms_between_requests(monkeypatch):
     async def scenario(source, watch, updates):
         await asyncio.sleep(0.1)
         source.update(row("b", "draining"))
@@ -75,7 +75,7 @@
     assert max(late - early for early, late in itertools.pairwise(times)) < 0.3 + 0.2
 
 
-def test_silence_is_noticed_and_missed_changes_are_passed_on(monkeypatch):
+def test_a_silent_discovery_is_detected_and_missed_changes_are_passed_on(monkeypatch):
     async def scenario(source, watch, updates):
         await asyncio.sleep(0.1)
         source.is_silent = True
@@ -114,18 +114,18 @@
         other = FakeDiscovery()
         await other.open()
         other.version, other.rows = source.version, dict(source.rows)
-        other.update(row("c"))  # known to the new one only
+        other.update(row("c"))  # known to the new discovery only
         watch.change_address(SocketAddress("127.0.0.1", other.port))
         watch.change_address(SocketAddress("127.0.0.1", other.port))
         await asyncio.sleep(0.15)
         calls = len(source.requests)
         await asyncio.sleep(0.4)
-        still = len(source.requests) == calls
+        former_is_unused = len(source.requests) == calls
         other.close()
-        return updates, still
+        return updates, former_is_unused
 
-    updates, still = run_scenario(scenario, monkeypatch)
-    assert updates == [SNAPSHOT, (False, [("c", "ready")])] and still
+    updates, former_is_unused = run_scenario(scenario, monkeypatch)
+    assert updates == [SNAPSHOT, (False, [("c", "ready")])] and former_is_unused
 
 
 def test_an_address_that_does_not_answer_is_replaced_by_one_that_does(monkeypatch):
--- a/tests/gateway/test_keep_alive.py
+++ b/tests/gateway/test_keep_alive.py
@@ -4,7 +4,7 @@
 
 
 def test_an_idle_time_after_which_connections_are_reset_is_learned_and_tried_again_later():
-    """Seen on the platform: of connections idle for 0.1 s, half were reset at their next use."""
+    """On the platform, half of the connections that were idle for 0.1 s were reset at their next use."""
     estimator = KeepAliveEstimator()
     for _ in range(40):
         estimator.record_use(0.0, False)
--- a/tests/gateway/test_limits_over_gateways.py
+++ b/tests/gateway/test_limits_over_gateways.py
@@ -1,16 +1,11 @@
-"""A burst after a long quiet time took a volume past its limit.
+"""Rate limits of volumes over several gateways.
 
-Seen before production, with faults injected: one of six gateways alone sent a volume 12 operations in
-4.1 s past the limit of 4.1 units a second and 48 at once and the slack of 8.
+Guards against a burst after a long idle time that exceeds the limit.  Under fault injection, one of six
+gateways sent a volume 12 operations in 4.1 s beyond its limit of 4.1 units a second and burst of 48 and the
+slack of 8, although it had neither restarted nor reloaded its configuration.
 
-    86.764 took its volume (plan basico) past the limit of 4.1 units a second and 48 at once by more than the
-    slack of 8 (n1)
-
-Its log told of no restart and no new configuration before the first of them (86.764; the first SIGHUP came at
-89.0), and of nothing else about the volume.
-
-The tests here play real gateways between stand-ins, and judge each volume's units over all gateways.  More
-drawn runs, and one again: `--seeds FIRST:END`, a row each with `-rP`.
+The tests run real gateway processes between fake clients and nodes and check each volume's units over all
+gateways.  `--seeds FIRST:END` chooses the seeds of the randomized runs; `-rP` shows a table row for each.
 """
 
 import asyncio
@@ -25,7 +20,7 @@
 TEST_FILE = "tests/gateway/test_limits_over_gateways.py"
 DEFAULT_SEEDS = range(6)
 SLOW = VolumeLimit(rate=4.0, burst=48.0, tolerance=8.0)
-"""As in the incident: it takes 12 s to fill."""
+"""As in the failure above: the bucket takes 12 s to fill."""
 FAST = VolumeLimit(rate=40.0, burst=40.0, tolerance=8.0)
 LATE = LimitScenario(
     FAST,
@@ -36,7 +31,7 @@
     deadline=3.0,
     quiet_time=2.5,
 )
-"""Nodes with a fault get large operations late and together."""
+"""Nodes with a fault receive large operations late and at the same time."""
 
 
 def pytest_generate_tests(metafunc):
@@ -46,21 +41,17 @@
         metafunc.parametrize("limit_seed", seeds)
 
 
-def play(scenario, folder, seed=0, **options):
+def run_scenario(scenario, folder, seed=0, **options):
     return asyncio.run(LimitRun(scenario, seed, folder, **options).run())
 
 
-# A node's reply need not hold a figure of the volume's usage.  The gateway took a reply without one, at any
-# time, as a sign that the whole fleet had just begun, and filled the volume's bucket but for the units of
-# the last five seconds.  A bucket of 48 units that fills in 12 s was full again 5 s after it was spent.
-# Before the mend this test had 56 breaches, the first 12.0 units under zero where 8.6 are allowed.  In a
-# second replay of the incident, with new log lines, replies lost their figures on three of six gateways in
-# the middle of their lives:
-#
-#     105.323 n0 info volume.usage_missing volume=000bd18e46de001b plan=basico gateways=1 level=12.2
-def test_a_burst_after_a_quiet_time_keeps_the_limit(tmp_path):
+# A node's reply may lack the volume's usage, also in the middle of a gateway's life.  The gateway took such a
+# reply to mean that the whole fleet had just started, and refilled the volume's bucket but for the units of
+# the last five seconds: a bucket of 48 units that takes 12 s to fill was full again 5 s after it was spent.
+# This test then had 56 breaches, the first 12.0 units below zero where 8.6 are allowed.
+def test_a_burst_after_an_idle_time_keeps_the_limit(tmp_path):
     scenario = LimitScenario(SLOW, gateway_count=3, meter=Meter.MISSING, quiet_time=3.0, load_time=5.0)
-    outcome = play(scenario, tmp_path)
+    outcome = run_scenario(scenario, tmp_path)
     assert outcome.breaches == [] and outcome.problems == []
     assert outcome.arrivals > 20
 
@@ -69,47 +60,47 @@
 @pytest.mark.parametrize("restarts", [1, 3])
 def test_restarts_keep_the_limit(tmp_path, meter, restarts):
     scenario = LimitScenario(SLOW, meter=meter, restarts=restarts, restarted_gateways=2, load_time=2.5)
-    outcome = play(scenario, tmp_path)
+    outcome = run_scenario(scenario, tmp_path)
     assert outcome.breaches == [] and outcome.problems == []
 
 
-# A gateway that came back began with its part of the plan's slack, each time, although it may have spent a
-# whole share before: with a bucket of 16 units spent and three restarts the volume was 15.5 units under
-# zero where 8.3 are allowed, and the log had a `volume.started ... level=8.0` for each of them.
+# Each restarted gateway began with its share of the plan's slack, although it may have spent a full share
+# before.  With a spent bucket of 16 units and three restarts the volume was 15.5 units below zero where 8.3
+# are allowed.
 def test_restarts_in_a_row_after_a_full_bucket_was_spent_keep_the_limit(tmp_path):
     limit = VolumeLimit(rate=2.0, burst=16.0, tolerance=8.0)
     scenario = LimitScenario(limit, gateway_count=1, load_time=0.7, quiet_time=7.5, restarts=3)
-    outcome = play(scenario, tmp_path)
+    outcome = run_scenario(scenario, tmp_path)
     assert outcome.breaches == [] and outcome.problems == []
 
 
-# Units were taken from the bucket when an attempt was decided, and the bucket filled on while the attempt
-# waited for a connection or in its node's socket; what arrived together then was more than a bucket holds:
-# 18.8 units under zero where 14.1 are allowed with nodes that did not read for 0.7 s, 16.7 with connections
-# that came up late.
+# Units were taken from the bucket when an attempt was dispatched, and the bucket refilled while the attempt
+# waited for a connection or in its node's socket; more units than a bucket holds could then arrive together.
+# The volume was 18.8 units below zero where 14.1 are allowed with nodes that did not read for 0.7 s, and 16.7
+# with connections that were established late.
 @pytest.mark.parametrize("fault", [NodeFault.HELD, NodeFault.LATE_CONNECTIONS])
 def test_commands_that_reach_their_nodes_late_and_together_keep_the_limit(tmp_path, fault):
-    outcome = play(replace(LATE, fault=fault), tmp_path)
+    outcome = run_scenario(replace(LATE, fault=fault), tmp_path)
     assert outcome.breaches == [] and outcome.problems == []
 
 
 def test_reloads_and_stalled_processes_keep_the_limit(tmp_path):
     scenario = LimitScenario(FAST, reloads=2, stalls=4, load_time=4.0)
-    outcome = play(scenario, tmp_path)
+    outcome = run_scenario(scenario, tmp_path)
     assert outcome.breaches == [] and outcome.problems == []
 
 
-def test_a_drawn_run_keeps_the_limits(tmp_path, limit_seed):
+def test_a_randomized_run_keeps_the_limits(tmp_path, limit_seed):
     scenario = draw_scenario(limit_seed)
-    outcome = play(scenario, tmp_path, limit_seed)
+    outcome = run_scenario(scenario, tmp_path, limit_seed)
     print(
         f"| {limit_seed} | {scenario.limit.rate:g}, {scenario.limit.burst:g} | {scenario.gateway_count} |"
         f" {scenario.meter} | {scenario.fault} | {scenario.quiet_time:g} |"
         f" {scenario.restarts} x {scenario.restarted_gateways} | {outcome.arrivals} |"
         f" {outcome.largest_overdraft:.1f} | {len(outcome.breaches)} {'; '.join(outcome.problems[:2])} |"
     )
-    again = f"python -m pytest {TEST_FILE} --seeds {limit_seed}:{limit_seed + 1}"
-    assert outcome.breaches == [] and outcome.problems == [], again
+    rerun_command = f"python -m pytest {TEST_FILE} --seeds {limit_seed}:{limit_seed + 1}"
+    assert outcome.breaches == [] and outcome.problems == [], rerun_command
 
 
 def arrival(at, op_id, units, volume="v"):
@@ -122,7 +113,7 @@
         ([arrival(0, "a", 10), arrival(0, "b", 2)], 2, 0),
         ([arrival(0, "a", 10), arrival(0, "b", 2.6)], 2.6, 1),
         ([arrival(0, "a", 10), arrival(1, "b", 12.6)], 2.6, 1),
-        ([arrival(5, "a", 12.4)], 2.4, 0),  # the bucket is never over its burst
+        ([arrival(5, "a", 12.4)], 2.4, 0),  # the bucket never holds more than its burst
         ([arrival(0, "a", 10), arrival(0.1, "a", 10)], 0, 0),  # a retry takes no units
         ([arrival(0, "a", 10), arrival(0, "b", 10, "w")], 0, 0),  # another volume
         ([arrival(1, "b", 9), arrival(0, "a", 9)], 0, 0),
@@ -135,18 +126,18 @@
     assert len(verdict.breaches) == breaches
 
 
-# Statements that break the gateway, and a scenario that shows it.
+# Statements that break the gateway, and a scenario in which the check must notice.
 DEFECTS = {
-    "forgets its limit": (
+    "ignores its limit": (
         LimitScenario(SLOW),
         "Bucket.release_time = lambda self, units, now: now",
     ),
-    "begins with a full share": (
+    "starts with a full share": (
         LimitScenario(SLOW, gateway_count=1, restarts=2),
         "init = Bucket.__init__",
         "Bucket.__init__ = lambda self, *a: (init(self, *a), setattr(self, 'level', self.capacity))[0]",
     ),
-    "counts units as used at once": (
+    "counts units as used when reserved": (
         replace(LATE, fault=NodeFault.HELD),
         "Bucket.reserve = lambda self, units: setattr(self, 'level', self.level - units)",
         "Bucket.settle = lambda self, units, now: None",
@@ -155,7 +146,7 @@
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_a_gateway_with_a_defect_is_found_out(tmp_path, defect):
+def test_a_defective_gateway_is_detected(tmp_path, defect):
     scenario, *statements = DEFECTS[defect]
     program = (
         "import runpy",
@@ -163,5 +154,5 @@
         *statements,
         "runpy.run_module('rushmux.gateway', run_name='__main__')",
     )
-    outcome = play(scenario, tmp_path, arguments=("-c", "; ".join(program)))
+    outcome = run_scenario(scenario, tmp_path, arguments=("-c", "; ".join(program)))
     assert outcome.breaches
