--- a/rushmux/routes/__init__.py
+++ b/rushmux/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Route policies of the deployment file: which row applies, and whether all keep the rules.
+"""Route policies of the deployment file: which row applies, and whether all of them keep the rules.
 
 No I/O and no clock.
 """
--- a/rushmux/routes/bounds.py
+++ b/rushmux/routes/bounds.py
@@ -1,4 +1,4 @@
-"""The bounds that a deployment states, and the worst delays and amounts that follow from them.
+"""The bounds that a deployment states, and the worst delays and loads that follow from them.
 
 All times are ticks (0.1 ms).  docs/routes.md derives each closed form.
 """
@@ -13,85 +13,87 @@
 
 
 class Bounds(NamedTuple):
-    """What the deployment states besides its routes."""
+    """Bounds on the environment, beside the scheduler's settings."""
 
     settings: SchedulerSettings
     network_delay: Ticks
-    """The longest that a message is on its way, one way."""
+    """The longest delay of a message in one direction."""
     dial_timeout: Ticks
     """The longest that an attempt waits for a connection."""
     drain_grace: Ticks
+    """How long after the notice of a drain attempts may still reach the node."""
     restarts: int
-    """Starts anew of one gateway while a limit's burst fills."""
+    """Restarts of one gateway in the time in which a limit's burst refills."""
     overload_window: Ticks
-    """In which the rule on nodes in slow start counts; the scheduler keeps to a longer one."""
+    """The window of the overload rule for nodes in slow start; the scheduler uses a longer one."""
     overload_units: float
-    """Units within the window that overload a node that just started, at least."""
+    """The least units within the window that overload a node that just started."""
     served_units: float
-    """Units that such a node answers within the window, at most."""
+    """The most units that such a node answers within the window."""
     max_operations: int
-    """Operations that a gateway has place for."""
+    """Operations that a gateway has capacity for."""
     unit_bytes: int
     contended_cell_fraction: float = 1.0
-    """The least part of all cells that gateways with work for a node in slow start work on."""
+    """The least fraction of all cells that gateways with work for a node in slow start have work for."""
 
 
 def scheduler_window(window: Ticks, delay: Ticks, dial_timeout: Ticks, interval: Ticks) -> Ticks:
-    """The window that the scheduler must keep to, so that what it sent covers all that arrives in `window`.
+    """Returns the window over which the scheduler must limit its sends to limit the arrivals in `window`.
 
-    Delays bunch what was sent apart.
+    Attempts sent at different times may arrive at the same time, because their delays differ.
     """
     return window + delay + dial_timeout + interval
 
 
 def time_in_scheduler(bounds: Bounds, request_class: RequestClass) -> Ticks:
-    """How long an operation may be queued or in flight."""
+    """Returns how long an operation may be queued or in flight."""
     return max(0, request_class.deadline - END_MARGIN * bounds.settings.round_interval)
 
 
-def latest_answer(bounds: Bounds, request_class: RequestClass) -> Ticks:
-    """From a client's send until its final answer, at the latest.
+def latest_answer_time(bounds: Bounds, request_class: RequestClass) -> Ticks:
+    """Returns the longest time from a client's request until its final answer.
 
-    On its way there; queued or in flight; one late round; on its way back.
+    The sum of the network delay of the request, the time in the scheduler, one late round and the network
+    delay of the answer.
     """
     interval = bounds.settings.round_interval
     return 2 * bounds.network_delay + interval + time_in_scheduler(bounds, request_class)
 
 
 def longest_attempt(interval: Ticks, route: ResolvedRoute) -> Ticks:
-    """How long one attempt may take."""
+    """Returns how long one attempt may take."""
     remaining = route.request_class.deadline - END_MARGIN * interval
     return max(0, min(route.policy.attempt_timeout, remaining))
 
 
-def longest_connect(bounds: Bounds, route: ResolvedRoute) -> Ticks:
-    """After how long an attempt may still be sent.
+def longest_connect_wait(bounds: Bounds, route: ResolvedRoute) -> Ticks:
+    """Returns how long an attempt may wait for a connection and still be sent.
 
-    It waits for a connection until the round, late by an interval, that gives it up.
+    Its timeout takes effect in a round, up to one interval late.
     """
     interval = bounds.settings.round_interval
     return min(bounds.dial_timeout, longest_attempt(interval, route) + interval)
 
 
 def _units_beyond_shares(bounds: Bounds) -> float:
-    """Units that come to a node in slow start within a window besides the gateways' shares.
+    """Returns the units that a node in slow start may receive within a window beyond the gateways' shares.
 
-    The dithers, were all of them highest, and what answers give back: a node's answers of a window and of the
-    delays by which sends and answers can bunch, and one that was nearly done.
+    These are the largest possible dithers and the credit for answers: those of a window and of the delays by
+    which sends and answers can bunch up, and one answer that was nearly complete.
     """
     settings, window = bounds.settings, bounds.overload_window
-    bunch = 1 + (settings.slow_start_window - window + bounds.network_delay) / window
-    answered = bounds.served_units * bunch + settings.max_units
+    bunching = 1 + (settings.slow_start_window - window + bounds.network_delay) / window
+    answered = bounds.served_units * bunching + settings.max_units
     credit = ANSWER_CREDIT * (settings.overload_multiple - 1) * answered
     return settings.gateway_count * settings.max_units + credit
 
 
 def worst_slow_start_units(bounds: Bounds) -> float:
-    """Units that all gateways together can send a node that just started within a window."""
+    """Returns the most units that all gateways together can send a node that just started, in a window."""
     return bounds.settings.slow_start_units / bounds.contended_cell_fraction + _units_beyond_shares(bounds)
 
 
 def nearest_slow_start_units(bounds: Bounds) -> float:
-    """The most `cold_units` that pass, to a tenth; 0: none."""
+    """Returns the largest `cold_units` that pass, rounded down to a tenth; 0 if none do."""
     left = bounds.overload_units - _units_beyond_shares(bounds)
     return max(0, int(left * bounds.contended_cell_fraction * 10) / 10)
--- a/rushmux/routes/findings.py
+++ b/rushmux/routes/findings.py
@@ -1,4 +1,4 @@
-"""What the verifier tells: refusals with their timelines, and the worst cases of what it accepts."""
+"""Results of the verifier: findings with their timelines, and the worst cases of an accepted file."""
 
 from collections.abc import Iterator
 from enum import StrEnum
@@ -7,11 +7,11 @@
 from rushmux.scheduling.interface import Ticks
 
 TICKS_PER_MS = 10
-MAX_STEPS = 12  # steps of a timeline: what a person follows
+MAX_STEPS = 12  # steps of a timeline that a reader can follow
 
 
 class Rule(StrEnum):
-    """The rules that routes could break."""
+    """The rules that routes may break."""
 
     NO_LOSS = "no operation lost"
     NO_DUPLICATE = "no effect twice"
@@ -29,46 +29,48 @@
 
 
 class Finding(NamedTuple):
-    """One refusal."""
+    """One reason to reject a deployment file."""
 
     place: str
-    """Where it stands in the deployment file."""
+    """JSON pointer into the deployment file."""
     rule: Rule
     text: str
     worst: float
+    """The worst value that can occur."""
     bound: float
+    """The largest value that the rule allows."""
     suggestion: str
-    """The nearest value that passes."""
+    """The nearest value of a field that passes, as `field value`, with alternatives behind it."""
     guarded: bool
-    """The scheduler keeps the rule by cutting the route short, so that the route cannot do what it says."""
+    """Whether the scheduler keeps the rule all the same, by not doing all that the route states."""
     steps: tuple[Step, ...] = ()
 
     def lines(self) -> Iterator[str]:
-        """Plain text: the refusal and its timeline."""
+        """Yields the finding and its timeline as plain text."""
         yield f"{self.place}: {self.text}"
-        kept = "; the module would cut it short" if self.guarded else ""
+        kept = "; the scheduler would cut the route short" if self.guarded else ""
         yield f"    rule: {self.rule}{kept}; passes: {self.suggestion}"
         steps = sorted(self.steps[:MAX_STEPS], key=lambda step: step.at)
         yield from (f"    {step.at / TICKS_PER_MS:10.1f} ms  {step.what}" for step in steps)
 
 
 class WorstCase(NamedTuple):
-    """The worst of one matter in an accepted file."""
+    """The worst value of one quantity that an accepted file allows."""
 
-    matter: str
+    quantity: str
     worst: float
     bound: float | None
     unit: str
     exact: bool
-    """A schedule within the bounds reaches it."""
+    """Whether a schedule within the bounds reaches it."""
 
 
-def milliseconds(ticks: Ticks) -> str:
-    """A duration as text."""
+def format_ms(ticks: Ticks) -> str:
+    """Returns a duration as text in milliseconds."""
     return f"{ticks / TICKS_PER_MS:g} ms"
 
 
-def enumerated(places: list[str]) -> str:
-    """The first places of a list as text."""
+def format_places(places: list[str]) -> str:
+    """Returns the first places of a list as text."""
     shown = MAX_STEPS // 2
     return ", ".join(places[:shown]) + (" ..." if len(places) > shown else "")
--- a/rushmux/routes/reload.py
+++ b/rushmux/routes/reload.py
@@ -1,6 +1,7 @@
-"""What a new deployment file may change while an edge runs: its routes, all or none; the rest needs a start.
+"""Decides whether a running edge may apply a new deployment file.
 
-Decides only; `rushmux.edge.edge` reads the file and tells the scheduler.
+Only routes may change, all or none; the rest needs a restart.  `rushmux.edge.edge` reads the file and passes
+the routes to the scheduler.
 """
 
 from __future__ import annotations
@@ -11,21 +12,20 @@
 if TYPE_CHECKING:
     from rushmux.settings.deployment import Deployment
 
-MAX_LISTED_ITEMS = 20  # places named; more are counted
+MAX_LISTED_ITEMS = 20  # items listed in a message; the others are only counted
 
 
 class ReloadVerdict(NamedTuple):
-    """Whether a file's routes are taken over."""
+    """Whether a file's routes may be applied."""
 
     accepted: bool
     rejection_reasons: tuple[str, ...]
-    """What stands against it."""
     changed: tuple[str, ...]
     """Classes and plans whose routes change, as `class/plan`."""
 
 
 def differing_places(old: Any, new: Any, place: str = "") -> Iterator[str]:
-    """Places, like `/plans/basico/limit`, at which two files differ, but for their routes."""
+    """Yields the places, like `/plans/basico/limit`, at which two files differ outside their routes."""
     if isinstance(old, dict) and isinstance(new, dict):
         for name in [*old, *(name for name in new if name not in old)]:
             if place or name != "routes":
@@ -34,14 +34,14 @@
         yield place
 
 
-def abbreviate(places: list[str]) -> tuple[str, ...]:
-    """The first places as text, and how many more there are."""
-    more = [f"and {len(places) - MAX_LISTED_ITEMS} more"] if len(places) > MAX_LISTED_ITEMS else []
-    return (*places[:MAX_LISTED_ITEMS], *more)
+def abbreviate(items: list[str]) -> tuple[str, ...]:
+    """Returns the first items, and how many more there are."""
+    more = [f"and {len(items) - MAX_LISTED_ITEMS} more"] if len(items) > MAX_LISTED_ITEMS else []
+    return (*items[:MAX_LISTED_ITEMS], *more)
 
 
 def compare(old: Deployment, new: Deployment) -> ReloadVerdict:
-    """Compares a checked deployment with the one in force."""
+    """Compares a valid new deployment with the one in force."""
     rejection_reasons = [
         f"{place}: changes only with a start" for place in differing_places(old.raw, new.raw)
     ]
--- a/rushmux/routes/resolve.py
+++ b/rushmux/routes/resolve.py
@@ -1,7 +1,7 @@
-"""From the file's rows to one route policy for each request class and plan.
+"""Resolves the file's rows to one route policy for each request class and plan.
 
-A row names a class (`lane` in the file), a plan, or both.  Field by field the most specific row that states
-it wins: one that names both, then one that names the class, then one that names the plan, then the fleet.
+A row names a class (`lane` in the file), a plan, or both.  Each field is taken from the most specific row
+that states it: one that names both, then the class, then the plan, then the fleet's default.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,25 +14,26 @@
 
 
 class ResolvedRoute(NamedTuple):
-    """The policy of one request class and plan, and where in the file each stated field comes from."""
+    """The policy of one request class and plan."""
 
     request_class: RequestClass
     plan: str
     policy: RoutePolicy
     places: dict[str, str]
+    """JSON pointers into the file, by field that it states."""
 
     @property
     def name(self) -> str:
-        """The class and the plan in the file's words."""
+        """The class and the plan in the terms of the file."""
         return f"lane '{self.request_class.name}' of plan '{self.plan}'"
 
     def place(self, *fields: str) -> str:
-        """Where the first of these fields that is stated stands."""
+        """Returns the JSON pointer of the first of these fields that is stated."""
         return next((self.places[field] for field in fields if field in self.places), "/routes")
 
 
 def ticks(milliseconds: float) -> Ticks:
-    """Whole ticks of a time, rounded up."""
+    """Converts a time to whole ticks, rounded up."""
     return -int(-milliseconds * TICKS_PER_MS // 1)
 
 
@@ -52,7 +53,7 @@
 
 
 def find_row_faults(rows: list[dict], classes: Mapping, plans: Mapping) -> list[tuple[str, str]]:
-    """Rows that name what is not there, or the same thing twice: (place, what is wrong)."""
+    """Returns place and text of each row that names an unknown class or plan or repeats an earlier row."""
     found, seen = [], {}
     for number, row in enumerate(rows):
         for kind, known in (("lane", classes), ("plan", plans)):
@@ -69,13 +70,13 @@
 def resolve(
     rows: list[dict], classes: Mapping[str, RequestClass], plans: Iterable[str], max_attempts: int
 ) -> list[ResolvedRoute]:
-    """One for each class and plan, in the order of the file; `rows` have no faults.
+    """Returns a route for each class and plan, in the order of the file.
 
     Args:
-        rows: The file's rows.
+        rows: The file's rows, without faults.
         classes: All request classes by name.
         plans: The names of all plans.
-        max_attempts: The fleet's, where no row states another.
+        max_attempts: The fleet's default, for classes and plans without a row that states it.
     """
     numbers = {(row.get("lane"), row.get("plan")): number for number, row in enumerate(rows)}
     found = []
@@ -95,5 +96,5 @@
 
 
 def route_policies(routes: list[ResolvedRoute]) -> dict[tuple[str, str], RoutePolicy]:
-    """As `SchedulerSettings` takes them: by names of class and plan."""
+    """Returns the policies by names of class and plan, as `SchedulerSettings` takes them."""
     return {(route.request_class.name, route.plan): route.policy for route in routes}
--- a/rushmux/routes/verifier.py
+++ b/rushmux/routes/verifier.py
@@ -1,14 +1,14 @@
-"""Works out the worst that a file's routes allow, and refuses what could break a rule.
+"""Computes the worst cases that a file's routes allow and reports those that could break a rule.
 
-Each check is a closed form over the stated bounds: the longest chain of delays that the bounds allow, in
-whole ticks, against what the rule allows (docs/routes.md derives each).  A `Finding` is a refusal.  Those
-marked `guarded` are of rules that the scheduler would keep by itself by cutting the route short: such a route
-cannot do what it says.  The others can be played (`lab/model_check`).
+Each check is a closed form over the stated bounds: it compares the longest chain of delays that the bounds
+allow, in whole ticks, with what the rule allows (docs/routes.md derives each).  A file with findings is
+rejected.  A finding is marked `guarded` if the scheduler would keep the rule by itself, so that the route
+could not do all that it states.  The others can be reproduced by a simulated schedule (`lab/model_check`).
 """
 
 from rushmux.routes import fleet_checks, route_checks
-from rushmux.routes.bounds import Bounds, latest_answer, longest_connect, worst_slow_start_units
-from rushmux.routes.findings import Finding, WorstCase, milliseconds
+from rushmux.routes.bounds import Bounds, latest_answer_time, longest_connect_wait, worst_slow_start_units
+from rushmux.routes.findings import Finding, WorstCase, format_ms
 from rushmux.routes.resolve import ResolvedRoute
 from rushmux.scheduling.node import MAX_IN_FLIGHT
 
@@ -20,20 +20,20 @@
 
 
 def verify(bounds: Bounds, routes: list[ResolvedRoute]) -> list[Finding]:
-    """Every refusal, in the order of the rules; none: no schedule within the bounds breaks a rule."""
+    """Returns all findings by check; if there are none, no schedule within the bounds breaks a rule."""
     found = [
         *fleet_checks.check_answers_in_time(bounds),
-        *_worst_of_rows(bounds, routes),
+        *_worst_by_place(bounds, routes),
         fleet_checks.check_draining(bounds, routes),
         fleet_checks.check_slow_start(bounds),
         *fleet_checks.check_retry_budgets(bounds, routes),
-        fleet_checks.check_places(bounds, routes),
+        fleet_checks.check_capacity(bounds, routes),
     ]
     return [finding for finding in found if finding is not None]
 
 
-def _worst_of_rows(bounds: Bounds, routes: list[ResolvedRoute]) -> list[Finding]:
-    """The checks of each route; a row for a class speaks for all plans, and only their worst is told."""
+def _worst_by_place(bounds: Bounds, routes: list[ResolvedRoute]) -> list[Finding]:
+    """Checks each route; of the findings of one row for several plans only the worst is kept."""
     worst: dict[tuple, Finding] = {}
     for route in routes:
         for check in ROUTE_CHECKS:
@@ -48,26 +48,28 @@
 
 
 def worst_cases(bounds: Bounds, routes: list[ResolvedRoute]) -> list[WorstCase]:
-    """What an accepted file comes to at its worst."""
+    """Returns the worst cases that an accepted file allows."""
     settings = bounds.settings
     classes = settings.request_classes.values()
-    latest = max(classes, key=lambda each: latest_answer(bounds, each) - each.deadline)
+    latest = max(classes, key=lambda each: latest_answer_time(bounds, each) - each.deadline)
     in_flight = settings.gateway_count * MAX_IN_FLIGHT
-    connect = max((longest_connect(bounds, route) for route in routes), default=0)
+    connect = max((longest_connect_wait(bounds, route) for route in routes), default=0)
     draining = settings.round_interval + connect + bounds.network_delay
     found = [
         WorstCase(
             f"latest final answer, nearest to its hard stop (lane '{latest.name}')",
-            latest_answer(bounds, latest) / 10,
+            latest_answer_time(bounds, latest) / 10,
             latest.deadline / 10,
             "ms",
             True,
         ),
-        WorstCase("executions out at a node", in_flight, None, "", True),
+        WorstCase("executions in flight at a node", in_flight, None, "", True),
         WorstCase("bytes of them", in_flight * settings.max_units * bounds.unit_bytes, None, "bytes", False),
-        WorstCase("at a draining node after it was told", draining / 10, bounds.drain_grace / 10, "ms", True),
         WorstCase(
-            "at a just-started node in a span",
+            "arrival at a draining node after notice", draining / 10, bounds.drain_grace / 10, "ms", True
+        ),
+        WorstCase(
+            "sent to a node that just started, within a window",
             worst_slow_start_units(bounds),
             bounds.overload_units,
             "units",
@@ -75,10 +77,10 @@
         ),
     ]
     if settings.retry_budget_ratio is not None:
-        window = milliseconds(settings.retry_budget_window)
-        matter = f"further executions of a gateway in {window}, of 1000 taken"
+        window = format_ms(settings.retry_budget_window)
+        quantity = f"additional executions of a gateway in {window}, with 1000 operations"
         retries = settings.retry_budget_burst + 1000 * settings.retry_budget_ratio
-        found.append(WorstCase(matter, retries, None, "", True))
+        found.append(WorstCase(quantity, retries, None, "", True))
     for plan in settings.plans.values():
         if plan.limit:
             found.append(WorstCase(f"over the limit of plan '{plan.name}'", 0, plan.slack, "units", True))
--- a/tests/routes/test_verifier.py
+++ b/tests/routes/test_verifier.py
@@ -62,7 +62,7 @@
     assert refused() == []
     built = deployment.build(raw)
     over = [
-        case for case in verifier.worst_cases(built.bounds, built.routes) if "over the limit" in case.matter
+        case for case in verifier.worst_cases(built.bounds, built.routes) if "over the limit" in case.quantity
     ]
     assert over and all(case.worst == 0 <= case.bound for case in over)
 
