--- a/tests/routes/conftest.py
+++ b/tests/routes/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the routes' tests: the example's text, and what the proof says of a changed one."""
+"""Fixtures of the routes' tests: an example deployment and the verifier's findings on changes of it."""
 
 import copy
 import json
@@ -13,23 +13,23 @@
 
 @pytest.fixture
 def raw():
-    """The example's text without its routes, to be changed at will."""
-    text = copy.deepcopy(EXAMPLE)
-    text["routes"] = []
-    return text
+    """A copy of the example without its routes, to be changed by the test."""
+    changeable = copy.deepcopy(EXAMPLE)
+    changeable["routes"] = []
+    return changeable
 
 
 @pytest.fixture
-def refused(raw):
-    """The findings on a deployment with these routes."""
+def findings_on(raw):
+    """Returns the findings on `raw` with these routes."""
 
-    def found(routes=()):
+    def build(routes=()):
         raw["routes"] = list(routes)
         try:
             deployment.build(raw)
-        except deployment.DeploymentError as fault:
-            assert len(fault.findings) == len(fault.faults), fault.faults
-            return list(fault.findings)
+        except deployment.DeploymentError as error:
+            assert len(error.findings) == len(error.faults), error.faults
+            return list(error.findings)
         return []
 
-    return found
+    return build
--- a/tests/routes/test_broken.py
+++ b/tests/routes/test_broken.py
@@ -1,7 +1,4 @@
-"""The folder of broken files: each refusal is told plainly, all of a file in one go.
-
-What a refusal says would pass does pass.
-"""
+"""Deployment files that break rules: all findings are reported at once, and the values they suggest pass."""
 
 import copy
 import json
@@ -16,8 +13,8 @@
 from rushmux.settings.deployment import DeploymentError, build
 
 FILES = sorted(Path(__file__).parent.glob("broken/*.json"))
-# file -> the place, the rule and a word of each refusal, in order
-REFUSED = {
+# Expected findings by file, in order: the place, the rule and a part of the text.
+EXPECTED_FINDINGS = {
     "budgets-together": [("/routes/1/budget", Rule.RETRY_BUDGET, "together 12")],
     "cold-crowd": [("/fleet/cold_units", Rule.SLOW_START, "24 gateways")],
     "copies-forbidden": [("/routes/0/second_copy", Rule.NO_DUPLICATE, "the fleet allows one")],
@@ -48,22 +45,22 @@
 def findings(raw):
     try:
         build(raw)
-    except DeploymentError as fault:
-        return fault.findings
+    except DeploymentError as error:
+        return error.findings
     return ()
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_each_refusal_is_told_with_place_rule_and_worst(path):
+def test_each_finding_has_place_rule_text_and_worst_value(path):
     found = findings(json.loads(path.read_text()))
-    assert len(found) == len(REFUSED[path.stem]), [finding.text for finding in found]
-    for finding, (place, rule, word) in zip(found, REFUSED[path.stem], strict=True):
-        assert (finding.place, finding.rule) == (place, rule) and word in finding.text
+    assert len(found) == len(EXPECTED_FINDINGS[path.stem]), [finding.text for finding in found]
+    for finding, (place, rule, part) in zip(found, EXPECTED_FINDINGS[path.stem], strict=True):
+        assert (finding.place, finding.rule) == (place, rule) and part in finding.text
         assert finding.worst > finding.bound and finding.suggestion
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_check_prints_all_of_them_and_starts_nothing(path):
+def test_the_check_command_prints_all_findings_and_fails(path):
     result = CliRunner().invoke(main, ["check", str(path)])
     assert result.exit_code == 1 and "Traceback" not in result.output
     for finding in findings(json.loads(path.read_text())):
@@ -71,26 +68,26 @@
         assert f"passes: {finding.suggestion}" in result.output
 
 
-def test_rows_for_what_is_not_there_are_told_beside_what_would_break():
+def test_invalid_rows_are_reported_together_with_findings():
     result = CliRunner().invoke(main, ["check", str(FILES[0].with_name("every-kind.json"))])
-    for words in (
+    for text in (
         "/routes/3/executions: 0 is less",
         "/routes/4/lane: there is no lane 'leer'",
         "/routes/0/second_copy",
     ):
-        assert words in result.output
+        assert text in result.output
     result = CliRunner().invoke(main, ["check", str(FILES[0].with_name("no-such-lane.json"))])
-    for words in ("no lane 'escritura'", "no plan 'oro'", "/routes/3: routes the same as /routes/2"):
-        assert words in result.output
+    for text in ("no lane 'escritura'", "no plan 'oro'", "/routes/3: routes the same as /routes/2"):
+        assert text in result.output
 
 
-def test_restarts_without_slack_for_each_are_accepted():
+def test_restarts_are_accepted_without_slack_for_each_of_them():
     raw = json.loads((Path(__file__).parent / "accepted" / "restarts-without-slack.json").read_text())
     assert raw["bounds"]["restarts"] > 1
     assert findings(raw) == ()
 
 
-def put(raw, place, value):
+def set_value(raw, place, value):
     *names, last = place.strip("/").split("/")
     part = raw
     for name in names:
@@ -98,17 +95,17 @@
     part[int(last) if isinstance(part, list) else last] = value
 
 
-def changed(raw, finding):
-    """The file with the nearest value that the finding names first put in; None: it names none."""
-    named = re.match(r"(\S+) (-?[\d.]+|false|true)( each)?(?=$|,| )", finding.suggestion)
-    if named is None:
+def apply_suggestion(raw, finding):
+    """Returns the file with the first suggested value of the finding applied, or None if there is none."""
+    suggested = re.match(r"(\S+) (-?[\d.]+|false|true)( each)?(?=$|,| )", finding.suggestion)
+    if suggested is None:
         return None
-    field, value, raw = named[1], json.loads(named[2]), copy.deepcopy(raw)
+    field, value, raw = suggested[1], json.loads(suggested[2]), copy.deepcopy(raw)
     if field.startswith("/"):
-        put(raw, field, value)
+        set_value(raw, field, value)
     elif finding.place.startswith("/routes/"):
         row = int(finding.place.split("/")[2])
-        for number in range(len(raw["routes"])) if named[3] else (row,):
+        for number in range(len(raw["routes"])) if suggested[3] else (row,):
             part = raw["routes"][number]
             if field in ("free", "share"):
                 part = part["budget"]
@@ -116,23 +113,25 @@
                 part = part["second_copy"]
             part[field] = value
     else:
-        put(raw, f"{finding.place.rsplit('/', 1)[0]}/{field}", value)
+        set_value(raw, f"{finding.place.rsplit('/', 1)[0]}/{field}", value)
     return raw
 
 
-@pytest.mark.parametrize("path", [path for path in FILES if REFUSED[path.stem]], ids=lambda path: path.stem)
-def test_the_nearest_value_passes(path):
+@pytest.mark.parametrize(
+    "path", [path for path in FILES if EXPECTED_FINDINGS[path.stem]], ids=lambda path: path.stem
+)
+def test_the_suggested_value_passes(path):
     raw, tried = json.loads(path.read_text()), 0
     for finding in findings(raw):
-        nearer = changed(raw, finding)
-        if nearer is None:
+        corrected = apply_suggestion(raw, finding)
+        if corrected is None:
             continue
         tried += 1
-        # A row for several lanes may be refused for another of them; this lane's refusal must be gone.
+        # A row for several lanes may still be rejected for another lane, but not with the same finding.
         assert not [
             other
-            for other in findings(nearer)
+            for other in findings(corrected)
             if (other.place, other.rule, other.text) == (finding.place, finding.rule, finding.text)
         ]
-        assert len(findings(nearer)) <= len(findings(raw))
+        assert len(findings(corrected)) <= len(findings(raw))
     assert tried or path.stem == "cold-crowd"
--- a/tests/routes/test_model.py
+++ b/tests/routes/test_model.py
@@ -1,4 +1,4 @@
-"""The prover against the real decision module in the schedules that the bounds allow."""
+"""Checks the verifier against the real scheduler, in the schedules that the bounds allow."""
 
 import random
 
@@ -12,7 +12,7 @@
 from rushmux.scheduling.volume import Volume
 
 
-def test_no_accepted_deployment_breaks_a_rule_and_most_refused_ones_do():
+def test_no_accepted_deployment_breaks_a_rule_and_most_rejected_ones_do():
     outcome = check_verifier(36, seed=11, max_schedules=30)
     counts = outcome.counts
     assert outcome.mismatches == []
@@ -20,25 +20,25 @@
     assert counts["played"] + counts["guarded"] > counts["conservative"]
 
 
-def drawn_of(matter, accepted):
-    chance = random.Random(5)
+def draw_deployment_near(boundary, accepted):
+    generator = random.Random(5)
     while True:
-        drawn = draw_deployment(chance)
-        if drawn.boundary == matter and bool(verifier.verify(drawn.bounds, drawn.routes)) != accepted:
+        drawn = draw_deployment(generator)
+        if drawn.boundary == boundary and bool(verifier.verify(drawn.bounds, drawn.routes)) != accepted:
             return drawn
 
 
 volume_init = Volume.__init__
 
 
-def start_with_a_full_limit(volume, *arguments):
+def init_with_full_limit(volume, *arguments):
     volume_init(volume, *arguments)
     volume.limit.level = volume.limit.capacity
 
 
-# What the module or the prover takes for granted, taken away: the schedules must find the breach.
+# Each case violates an assumption of the scheduler or the verifier: a schedule must find the breach.
 @pytest.mark.parametrize(
-    "matter, rule, worse",
+    "boundary, rule, worse",
     [
         (
             "way",
@@ -63,26 +63,26 @@
         ),
     ],
 )
-def test_the_model_finds_what_is_broken(matter, rule, worse, monkeypatch):
-    drawn = drawn_of(matter, accepted=True)
-    if matter == "budget":  # the module's own guard is what is taken away
+def test_schedules_find_a_breach_when_an_assumption_is_violated(boundary, rule, worse, monkeypatch):
+    drawn = draw_deployment_near(boundary, accepted=True)
+    if boundary == "budget":  # disables the scheduler's own check
         monkeypatch.setattr(
             "rushmux.scheduling.dispatcher.Dispatcher.has_retry_budget", lambda self, now: True
         )
-    if matter == "limit":  # and here, that a gateway which came back begins with nothing
+    if boundary == "limit":  # a restarted gateway no longer starts with an empty bucket
         assert find_breach_of(drawn._replace(bounds=worse(drawn.bounds)), rule, 80) is None
-        monkeypatch.setattr("rushmux.scheduling.volume.Volume.__init__", start_with_a_full_limit)
-    assert find_breach_of(drawn, rule, 40) is None or matter in ("budget", "limit")
+        monkeypatch.setattr("rushmux.scheduling.volume.Volume.__init__", init_with_full_limit)
+    assert find_breach_of(drawn, rule, 40) is None or boundary in ("budget", "limit")
     breach = find_breach_of(drawn._replace(bounds=worse(drawn.bounds)), rule, 80)
     assert breach is not None and breach.rule == rule and breach.steps
 
 
-def test_paths_of_choices_are_all_gone_through():
-    def path(choices):
+def test_all_combinations_of_choices_are_enumerated():
+    def combination(choices):
         return choices.choose((0, 1)), choices.choose("abc"), choices.choose((9,))
 
-    choices, met = EnumeratedChoices(), []
+    choices, seen = EnumeratedChoices(), []
     while choices is not None:
-        met.append(path(choices))
+        seen.append(combination(choices))
         choices = choices.next_choices()
-    assert met == [(number, letter, 9) for number in (0, 1) for letter in "abc"]
+    assert seen == [(number, letter, 9) for number in (0, 1) for letter in "abc"]
--- a/tests/routes/test_verifier.py
+++ b/tests/routes/test_verifier.py
@@ -1,4 +1,4 @@
-"""The prover at its borders, and which row wins."""
+"""The verifier at the limits of what it accepts, and the precedence of rows."""
 
 import pytest
 
@@ -31,13 +31,13 @@
     }
 
 
-def test_a_file_without_routes_sends_no_copies(raw):
+def test_a_file_without_routes_sends_no_hedged_requests(raw):
     assert raw["fleet"]["second_copies"]
     assert all(route.hedge_after is None for route in deployment.build(raw).settings.route_policies.values())
 
 
-# A change at the border, and the same one tick or unit further.
-BORDERS = [
+# A field, its last value that passes and the next value by one tick or unit, which breaks the rule.
+LIMIT_VALUES = [
     (("bounds", "way_ms"), 2.5, 2.6, Rule.NO_LOSS),
     (("fleet", "drain_grace_ms"), 307, 306.9, Rule.DRAINING),
     (("fleet", "cold_units"), 16.7, 16.8, Rule.SLOW_START),
@@ -45,21 +45,21 @@
 ]
 
 
-@pytest.mark.parametrize("border", BORDERS, ids=str)
-def test_borders_by_one_tick(raw, refused, border):
-    place, passes, breaks, rule = border
+@pytest.mark.parametrize("limit_value", LIMIT_VALUES, ids=str)
+def test_a_value_is_rejected_one_tick_or_unit_past_its_limit(raw, findings_on, limit_value):
+    place, passes, breaks, rule = limit_value
     part = raw
     for name in place[:-1]:
         part = part[name]
     part[place[-1]] = passes
-    assert refused() == []
+    assert findings_on() == []
     part[place[-1]] = breaks
-    assert [finding.rule for finding in refused()] == [rule]
+    assert [finding.rule for finding in findings_on()] == [rule]
 
 
-def test_limits_need_no_bound_on_restarts(raw, refused):
+def test_rate_limits_need_no_bound_on_restarts(raw, findings_on):
     raw["bounds"]["restarts"] = 9
-    assert refused() == []
+    assert findings_on() == []
     built = deployment.build(raw)
     over = [
         case for case in verifier.worst_cases(built.bounds, built.routes) if "over the limit" in case.quantity
@@ -67,41 +67,41 @@
     assert over and all(case.worst == 0 <= case.bound for case in over)
 
 
-def test_a_ladder_at_its_border(refused):
-    # Three of 400 ms quoted time: two time-outs, two late ticks and two waits come before the last.
+def test_the_last_attempt_is_rejected_one_tick_past_the_objective(findings_on):
+    # Two timeouts, two late ticks and two waits before the third attempt must fit the objective of 400 ms.
     row = {"lane": "lectura", "executions": 3, "wait_ms": 20}
-    assert refused([{**row, "time_out_ms": 174.9}]) == []
-    assert [finding.rule for finding in refused([{**row, "time_out_ms": 175}])] == [Rule.NO_LOSS]
+    assert findings_on([{**row, "time_out_ms": 174.9}]) == []
+    assert [finding.rule for finding in findings_on([{**row, "time_out_ms": 175}])] == [Rule.NO_LOSS]
 
 
-def test_a_second_copy_at_its_border(refused):
-    # Sent a tick late, on its way there and back: 9 ms before the quoted time of 600 ms is over.
-    assert refused([{"lane": "archivo-nuevo", "second_copy": {"after_ms": 590.9}}]) == []
-    assert refused([{"lane": "archivo-nuevo", "second_copy": {"after_ms": 591}}]) != []
+def test_a_hedged_request_is_rejected_one_tick_past_its_last_delay(findings_on):
+    # It is sent one tick late and needs the network delay both ways: 9 ms of the objective of 600 ms.
+    assert findings_on([{"lane": "archivo-nuevo", "second_copy": {"after_ms": 590.9}}]) == []
+    assert findings_on([{"lane": "archivo-nuevo", "second_copy": {"after_ms": 591}}]) != []
 
 
-def test_a_hard_stop_shorter_than_two_ticks(raw, refused):
+def test_a_deadline_shorter_than_two_ticks_is_rejected(raw, findings_on):
     raw["lanes"]["limpieza"].update(quoted_ms=8.9, hard_stop_ms=8.9)
-    (finding,) = refused()
+    (finding,) = findings_on()
     assert finding.place == "/lanes/limpieza/hard_stop_ms" and finding.suggestion == "hard_stop_ms 9"
 
 
-def test_routes_that_are_safe_alone_are_refused_together(refused):
+def test_routes_that_are_safe_alone_are_rejected_together(findings_on):
     rows = [{"lane": "lectura", "time_out_ms": 200}, {"plan": "prioritario", "executions": 3, "wait_ms": 150}]
-    assert refused(rows[:1]) == refused(rows[1:]) == []
-    (finding,) = refused(rows)
+    assert findings_on(rows[:1]) == findings_on(rows[1:]) == []
+    (finding,) = findings_on(rows)
     assert "lane 'lectura' of plan 'prioritario'" in finding.text
 
 
-def test_twenty_four_gateways_and_one_largest_operation(raw, refused):
+def test_the_largest_operation_of_each_gateway_counts_in_slow_start(raw, findings_on):
     raw["fleet"]["gateways"], raw["plans"]["basico"]["burst"] = 24, 24 * 8
-    (finding,) = refused()
+    (finding,) = findings_on()
     assert finding.rule == Rule.SLOW_START and finding.worst > 24 * 8 and "24 gateways" in finding.text
     raw["bounds"]["cold_falls_units"] = 800
-    assert refused() == []
+    assert findings_on() == []
 
 
-def test_a_thousand_routes_are_resolved_and_proved(raw, refused):
+def test_a_thousand_routes_are_resolved_and_verified(raw, findings_on):
     for number in range(25):
         raw["lanes"][f"l{number}"] = dict(raw["lanes"]["lectura"])
     for number in range(40):
@@ -111,16 +111,16 @@
         for lane in range(25)
         for plan in range(40)
     ]
-    assert refused(rows) == []
+    assert findings_on(rows) == []
     rows[777]["time_out_ms"] = 5_000
-    (finding,) = refused(rows)
+    (finding,) = findings_on(rows)
     assert finding.place == "/routes/777/executions"
 
 
-def test_facts_stay_within_their_bounds(raw):
+def test_worst_cases_of_an_accepted_file_are_within_their_bounds(raw):
     built = deployment.build(raw)
-    for fact in verifier.worst_cases(built.bounds, built.routes):
-        assert fact.bound is None or fact.worst <= fact.bound, fact
+    for case in verifier.worst_cases(built.bounds, built.routes):
+        assert case.bound is None or case.worst <= case.bound, case
 
 
 def test_ticks_are_rounded_up():
