--- a/rushmux/gateway/endpoint_pool.py
+++ b/rushmux/gateway/endpoint_pool.py
@@ -15,7 +15,7 @@
     from rushmux.gateway.connection_pool import ConnectionPool
 
 MAX_WAITING = 64
-"""Attempts that may wait for connections to one node: six times what the design needs."""
+"""Attempts that may wait for connections to one node: six times the bound that the design assumes."""
 
 
 class EndpointPool:
