--- a/rushmux/gateway/discovery.py
+++ b/rushmux/gateway/discovery.py
@@ -1,4 +1,4 @@
-"""Follows discovery: one snapshot of the endpoint list, then a watch request that is renewed all the time.
+"""Follows discovery: one snapshot of the endpoint list, then a watch renewed after each response.
 
 Whichever requests fail, a change must arrive within 6 s after discovery has it and is reachable.  The worst
 case is 5.6 s: a slow response that began before the change (RESPONSE_TIMEOUT), a failed connect
