--- a/rushmux/fleet/__init__.py
+++ b/rushmux/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""What a fleet decides in common: consensus, membership, quotas, placement and policy rollout.
+"""Fleet-wide coordination: consensus, membership, quotas, placement and policy rollout.
 
-All of it is sans I/O and has no clock: callers pass the time in and carry messages and writes out.
+All modules are sans I/O and have no clock: callers pass in the time, send the messages and do the writes.
 """
--- a/rushmux/fleet/errors.py
+++ b/rushmux/fleet/errors.py
@@ -1,16 +1,16 @@
-"""Errors of the fleet's shared decisions; each reads as a sentence to an operator."""
+"""Errors of the fleet package; their messages are shown to operators."""
 
 
 class FleetError(Exception):
-    """Base of all errors of this package."""
+    """Base class of the errors in this package."""
 
 
 class ProposalRejectedError(FleetError):
-    """The replicated log cannot take a proposal now; the text says why."""
+    """The replicated log cannot accept a proposal now; the message gives the reason."""
 
 
 class NotLeaderError(ProposalRejectedError):
-    """A proposal was made to a member that does not lead; `leader` is the one it knows of, if any."""
+    """A proposal was made to a member that is not the leader; `leader` is the leader it knows of, if any."""
 
     def __init__(self, leader: str | None):
         super().__init__(f"{leader or 'no member that is known here'} leads")
@@ -18,7 +18,7 @@
 
 
 class LogFullError(ProposalRejectedError):
-    """As many entries as may wait to be committed do; `limit` says how many."""
+    """The maximum number of uncommitted entries, `limit`, is reached."""
 
     def __init__(self, limit: int):
         super().__init__(f"{limit} entries wait to be decided")
@@ -26,7 +26,7 @@
 
 
 class MembershipChangeError(ProposalRejectedError):
-    """The log's members cannot be changed to `members` now."""
+    """The log's configuration cannot be changed to `members` now."""
 
     def __init__(self, reason: str, members: tuple[str, ...]):
         super().__init__(reason)
@@ -34,19 +34,21 @@
 
 
 class CompactionError(ProposalRejectedError):
-    """Entries up to `index` cannot be replaced by a snapshot."""
+    """The log cannot be compacted up to `index`."""
 
     def __init__(self, index: int, last_applied: int, snapshot_index: int):
-        super().__init__(f"entries up to {last_applied} are applied, up to {snapshot_index} are gone")
+        super().__init__(
+            f"cannot compact up to {index}: applied up to {last_applied}, snapshot at {snapshot_index}"
+        )
         self.index = index
 
 
 class CommandRejectedError(FleetError):
-    """The policy state machine refuses a command; the text says why."""
+    """The policy state machine rejects a command; the message gives the reason."""
 
 
 class UnknownCommandError(CommandRejectedError):
-    """There is no command of this `kind`."""
+    """No command of this `kind` exists."""
 
     def __init__(self, kind: object):
         super().__init__(f"there is no order '{kind}'")
@@ -54,7 +56,7 @@
 
 
 class AlreadyBootstrappedError(CommandRejectedError):
-    """The fleet has a policy, of `active_version`."""
+    """The fleet already has a policy, `active_version`."""
 
     def __init__(self, active_version: int):
         super().__init__("the fleet has a policy")
@@ -62,14 +64,14 @@
 
 
 class NoActivePolicyError(CommandRejectedError):
-    """The fleet has no policy that could be changed."""
+    """The fleet has no policy yet."""
 
     def __init__(self):
         super().__init__("the fleet has no first policy yet")
 
 
 class ChangeUnderWayError(CommandRejectedError):
-    """Another change is staged."""
+    """Another change, `version`, is staged."""
 
     def __init__(self, version: int, proposed_by: str):
         super().__init__(f"{version} by {proposed_by} is under way: wait, or withdraw it")
@@ -77,7 +79,7 @@
 
 
 class StaleBaseError(CommandRejectedError):
-    """A change was made on version `base`, which is not the active one."""
+    """A change is based on version `base`, which is not active."""
 
     def __init__(self, base: int, active_version: int):
         super().__init__(f"it was made on {base}, and {active_version} is in force")
@@ -85,7 +87,7 @@
 
 
 class PolicyTooLargeError(CommandRejectedError):
-    """A policy has more than `limit` bytes."""
+    """A policy is larger than `limit` bytes."""
 
     def __init__(self, limit: int):
         super().__init__(f"a policy holds {limit} bytes")
@@ -93,7 +95,7 @@
 
 
 class MemberBehindError(CommandRejectedError):
-    """`member` may still apply such an old version that no further change is taken."""
+    """`member` may still apply a version so old that no further change is accepted."""
 
     def __init__(self, member: str, version: int):
         super().__init__(f"{member} may still go by {version}: bring it back, or forget it")
@@ -101,7 +103,7 @@
 
 
 class PastPolicyError(CommandRejectedError):
-    """A past policy, of `version`, is not kept."""
+    """The past policy `version` is not kept."""
 
     def __init__(self, version: int, kept: tuple[int, ...]):
         listed = ", ".join(map(str, kept))
@@ -112,7 +114,7 @@
 
 
 class NotStagedError(CommandRejectedError):
-    """The change of `version` is not the staged one."""
+    """The change `version` is not staged."""
 
     def __init__(self, version: int):
         super().__init__(f"{version} is not under way")
@@ -120,7 +122,7 @@
 
 
 class UnknownChangeError(CommandRejectedError):
-    """There never was a change of `version`."""
+    """No change `version` is known."""
 
     def __init__(self, version: int):
         super().__init__(f"there is no change {version}")
@@ -128,7 +130,7 @@
 
 
 class ChangeEndedError(CommandRejectedError):
-    """The change of `version` has ended and cannot be withdrawn."""
+    """The change `version` has ended and cannot be withdrawn."""
 
     def __init__(self, version: int, outcome: str, *, revertible: bool):
         super().__init__(f"{version} is {outcome} already{': propose a revert' if revertible else ''}")
@@ -136,7 +138,7 @@
 
 
 class UnknownMemberError(CommandRejectedError):
-    """There is no member of this name."""
+    """No member of this name exists."""
 
     def __init__(self, member: str):
         super().__init__(f"there is no member '{member}'")
@@ -144,7 +146,7 @@
 
 
 class TooManyDrainedError(CommandRejectedError):
-    """`limit` nodes are draining."""
+    """The maximum number of draining nodes, `limit`, is reached."""
 
     def __init__(self, limit: int):
         super().__init__(f"{limit} nodes are to drain already")
@@ -152,7 +154,7 @@
 
 
 class StaleVersionError(CommandRejectedError):
-    """Members reported `version`, which is not the active one any more."""
+    """Members reported `version`, which is no longer active."""
 
     def __init__(self, version: int):
         super().__init__("another number is in force by now")
@@ -160,7 +162,7 @@
 
 
 class PolicyChecksumError(FleetError, ValueError):
-    """A stored policy, of `version`, is damaged."""
+    """The checksum of the stored policy `version` is wrong."""
 
     def __init__(self, version: int):
         super().__init__(f"policy {version} has a wrong checksum")
@@ -168,15 +170,15 @@
 
 
 class MembershipFullError(FleetError):
-    """As many members as are kept are known; `member` was rejected."""
+    """`member` was rejected because the maximum number of members, `limit`, is reached."""
 
     def __init__(self, member: str, limit: int):
-        super().__init__(f"{member}: {limit} members are known")
+        super().__init__(f"cannot add member {member}: the limit of {limit} members is reached")
         self.member = member
 
 
 class NoNodesError(FleetError, ValueError):
-    """There is no node that could hold cells."""
+    """There is no node to place cells on."""
 
     def __init__(self):
         super().__init__("no node to place cells on")
--- a/rushmux/fleet/membership.py
+++ b/rushmux/fleet/membership.py
@@ -1,11 +1,11 @@
 """Failure detection and membership of nodes and edges: leases, suspicion, drains and flap damping.
 
-Every member renews a lease with its reports.  Silence that is long for this member makes it suspected, which
-operators see and which changes nothing else; a lease that expires removes the member.  A planner that was
-paused, came back, or is cut off itself knows less than it seems: it lets no lease expire early for that.
-Members that restart too often are suppressed by a decaying penalty, as routes are in RFC 2439.
+A member's reports renew its lease.  A member that is silent for unusually long is suspected, which operators
+see but which has no other effect; a member whose lease expires is removed.  No lease expires early because
+this planner itself was paused, restarted or partitioned.  Members that restart too often are suppressed by a
+decaying penalty, like flapping routes in RFC 2439.
 
-Sans I/O and without a clock: times are seconds of the caller's, which never moves backwards but may jump.
+Sans I/O; the caller passes the time in seconds, which never goes backwards but may jump forward.
 """
 
 from collections import deque
@@ -15,44 +15,44 @@
 
 from rushmux.fleet.errors import MembershipFullError
 
-LEASE_DURATION = 6.0  # seconds without a report until a member is removed: three lost and a long pause
-REPORT_INTERVAL = 1.0  # seconds between a member's reports
-DISCONNECT_GRACE = 1.0  # seconds until a member whose connection broke is removed: a few dials
-MAX_TICK_GAP = 2.0  # seconds between two ticks of a planner: more is a pause of its own, or a jump
-SUSPICION_FACTOR = 4.0  # times a member's usual gap between reports until it is suspected
+LEASE_DURATION = 6.0  # seconds without a report until removal; covers three lost reports and a long pause
+REPORT_INTERVAL = 1.0  # seconds
+DISCONNECT_GRACE = 1.0  # seconds from a lost connection until removal; allows for a few reconnect attempts
+MAX_TICK_GAP = 2.0  # seconds between two ticks; a longer gap means a paused planner or a clock jump
+SUSPICION_FACTOR = 4.0  # a member is suspected after this many times its usual gap between reports
 REPORT_GAPS_KEPT = 16
 INCARNATIONS_KEPT = 16
-MIN_REPORT_GAP = 0.5  # seconds: a shorter gap says nothing about the next one
-MASS_FAILURE_FRACTION = 0.5  # of the members: more leases that expire together are this planner's own fault
+MIN_REPORT_GAP = 0.5  # seconds; shorter gaps do not predict the next one
+MASS_FAILURE_FRACTION = 0.5  # of the members; if more expire together, this planner is likely partitioned
 MASS_FAILURE_MIN_MEMBERS = 4
-MASS_FAILURE_WINDOW = 4.0  # seconds within which leases expire "together"
-MASS_FAILURE_GRACE = 10.0  # seconds for which members are kept then, unless some of them report
-FLAP_PENALTY = 1.0  # added to a member's penalty by each restart
+MASS_FAILURE_WINDOW = 4.0  # seconds within which leases count as expiring together
+MASS_FAILURE_GRACE = 10.0  # seconds for which members are then kept, unless some of them report
+FLAP_PENALTY = 1.0  # added by each restart
 PENALTY_HALF_LIFE = 60.0  # seconds
-SUPPRESS_PENALTY = 3.5  # penalty at which a member is suppressed
-REUSE_PENALTY = 1.5  # penalty below which it is used again
-DRAIN_SETTLE_TIME = 3.0  # seconds that a draining node is idle before it may be stopped
+SUPPRESS_PENALTY = 3.5  # a member is suppressed from this penalty on
+REUSE_PENALTY = 1.5  # a suppressed member is used again below this penalty
+DRAIN_SETTLE_TIME = 3.0  # seconds that a draining node must be idle before it may be stopped
 MAX_MEMBERS = 20_000
-REMOVED_RETENTION = 900.0  # seconds for which a removed member is remembered
+REMOVED_RETENTION = 900.0  # seconds for which removed members are kept
 
 
 class MemberKind(StrEnum):
-    """What a member is; the values are those on the wire and in the store."""
+    """The kind of a member; the values are used on the wire and in the store."""
 
     NODE = "node"
     EDGE = "edge"
 
 
 class MemberState(StrEnum):
-    """What was decided about a member; the values are those on the wire and in logs."""
+    """The state of a member; the values are used on the wire and in logs."""
 
     READY = "ready"
     SUSPECTED = "suspected"
     SUPPRESSED = "held"
-    """Restarted too often lately."""
+    """Restarted too often recently."""
     DRAINING = "draining"
     DRAINED = "drained"
-    """Draining, and idle for long enough to be stopped."""
+    """Draining, and idle long enough to be stopped."""
     REMOVED = "gone"
 
 
@@ -61,11 +61,11 @@
     MemberState.DRAINED: MemberState.DRAINING,
     MemberState.SUPPRESSED: MemberState.DRAINING,
 }
-"""States that edges are told as another one; suspicion changes nothing for them."""
+"""States published to edges as another one; suspicion has no effect on edges."""
 
 
 class StoredMember(NamedTuple):
-    """What a planner's store knows of a member."""
+    """A member as kept in a planner's store."""
 
     name: str
     kind: MemberKind
@@ -74,7 +74,7 @@
 
 
 class StateChange(NamedTuple):
-    """The new state of a member, and why."""
+    """A member's new state and the reason for it."""
 
     member: str
     state: MemberState
@@ -82,7 +82,7 @@
 
 
 class Member:
-    """What is known of one member.  `state` is None until it was evaluated first."""
+    """One member; its `state` is None until the first evaluation."""
 
     def __init__(self, name: str, kind: MemberKind, now: float):
         self.name = name
@@ -90,7 +90,7 @@
         self.state: MemberState | None = None
         self.incarnation = ""
         self.known_incarnations: dict[str, bool] = {}
-        """Incarnations that were seen, oldest first: an older one is not believed again."""
+        """Incarnations seen, oldest first; reports of an earlier one are ignored."""
         self.last_report_at = now
         self.lease_expiry = now + LEASE_DURATION
         self.report_gaps: deque[float] = deque(maxlen=REPORT_GAPS_KEPT)
@@ -98,29 +98,29 @@
         self.flap_penalty_at = now
         self.draining = False
         self.in_flight = 0
-        """Attempts that were running there by its last report."""
+        """Attempts running on it according to its last report."""
         self.idle_since: float | None = None
-        """Since when a draining member has had nothing in flight."""
+        """When a draining member became idle."""
 
     @property
     def is_living(self) -> bool:
-        """Whether it was evaluated and is not removed."""
+        """Whether it has been evaluated and is not removed."""
         return self.state not in (MemberState.REMOVED, None)
 
     def usual_report_gap(self) -> float:
-        """The median gap between its reports, in seconds."""
+        """Returns the median gap between its reports, in seconds."""
         if not self.report_gaps:
             return REPORT_INTERVAL
         return max(MIN_REPORT_GAP, sorted(self.report_gaps)[len(self.report_gaps) // 2])
 
     def decay_flap_penalty(self, now: float) -> float:
-        """The penalty as it is now."""
+        """Decays the penalty to the current time and returns it."""
         self.flap_penalty *= 0.5 ** ((now - self.flap_penalty_at) / PENALTY_HALF_LIFE)
         self.flap_penalty_at = now
         return self.flap_penalty
 
     def on_restart(self, now: float, incarnation: str) -> None:
-        """It reported under an incarnation that was not seen before."""
+        """Records a new incarnation; counts as a restart unless it is the first."""
         if self.incarnation:
             self.flap_penalty = self.decay_flap_penalty(now) + FLAP_PENALTY
             self.report_gaps.clear()
@@ -130,7 +130,7 @@
             del self.known_incarnations[next(iter(self.known_incarnations))]
 
     def renew_lease(self, now: float, in_flight: int) -> None:
-        """It reported, with so many attempts in flight."""
+        """Handles a report with this many attempts in flight."""
         self.last_report_at = now
         self.lease_expiry = now + LEASE_DURATION
         self.in_flight = in_flight
@@ -142,7 +142,7 @@
             self.idle_since = now
 
     def evaluate(self, now: float) -> tuple[MemberState, str]:
-        """Its state now, and why."""
+        """Returns its current state and the reason for it."""
         silence = now - self.last_report_at
         if now >= self.lease_expiry:
             return MemberState.REMOVED, f"silent for {silence:.1f} s, its lease is over"
@@ -157,7 +157,7 @@
         return MemberState.READY, f"start {self.incarnation}"
 
     def _evaluate_drain(self, now: float) -> tuple[MemberState, str]:
-        # Edges hear of a drain late; it is over when nothing was in flight for longer than that takes.
+        # Edges learn of a drain with a delay, so the node must have been idle for longer than that.
         if self.idle_since is not None and now - self.idle_since >= DRAIN_SETTLE_TIME:
             idle = now - self.idle_since
             return MemberState.DRAINED, f"nothing out for {idle:.1f} s: it may be stopped"
@@ -165,7 +165,7 @@
 
 
 class Membership:
-    """All members.  Each call gives the changes it made, in the order of the members' first reports."""
+    """All members.  Methods return the state changes they make, in order of the members' first reports."""
 
     def __init__(self, now: float):
         self.members: dict[str, Member] = {}
@@ -173,9 +173,9 @@
         self.mass_failure_since: float | None = None
 
     def restore(self, now: float, stored: Iterable[StoredMember]) -> None:
-        """Takes over members known from before this planner's start.
+        """Restores members from the store at a planner's start.
 
-        It has heard none of them yet, so each gets a whole lease.
+        None has reported to this planner yet, so each gets a full lease.
         """
         for name, kind, incarnation, draining in stored:
             member = self.members[name] = Member(name, kind, now)
@@ -187,10 +187,10 @@
     def on_report(
         self, now: float, name: str, kind: MemberKind, incarnation: str, in_flight: int = 0
     ) -> list[StateChange]:
-        """A member reported, with so many attempts in flight.
+        """Handles a member's report with this many attempts in flight.
 
         Raises:
-            MembershipFullError: It is new, and there are too many.
+            MembershipFullError: The member is new and the maximum number is reached.
         """
         self._compensate_pause(now)
         member = self.members.get(name)
@@ -200,7 +200,7 @@
             member = self.members[name] = Member(name, kind, now)
         if incarnation != member.incarnation:
             if incarnation in member.known_incarnations:
-                return []  # a late report of an incarnation that has ended
+                return []  # a delayed report of an earlier incarnation
             member.on_restart(now, incarnation)
         elif member.state != MemberState.REMOVED:
             member.report_gaps.append(now - member.last_report_at)
@@ -208,14 +208,14 @@
         return self._evaluate(now, member)
 
     def on_disconnect(self, now: float, name: str) -> None:
-        """A member's connection broke: mostly it died, but it may come back on another one soon."""
+        """Shortens the lease of a disconnected member: most have died, but some reconnect soon."""
         member = self.members.get(name)
         if member is not None and member.state != MemberState.REMOVED:
             member.lease_expiry = min(member.lease_expiry, now + DISCONNECT_GRACE)
         self._compensate_pause(now)
 
     def tick(self, now: float) -> list[StateChange]:
-        """Expires leases and lets drained nodes go; to be called every second or so."""
+        """Expires leases and updates all states; to be called about once a second."""
         self._compensate_pause(now)
         self.last_tick_at = now
         expiring = [
@@ -232,7 +232,7 @@
         return changes
 
     def drain(self, now: float, name: str) -> list[StateChange]:
-        """Nothing new is to go to a member.
+        """Drains a member: it gets nothing new.
 
         Raises:
             KeyError: No member of that name is known.
@@ -243,7 +243,7 @@
         return self._evaluate(now, member)
 
     def undrain(self, now: float, name: str) -> list[StateChange]:
-        """A member may be used again.
+        """Ends a member's drain.
 
         Raises:
             KeyError: No member of that name is known.
@@ -254,7 +254,7 @@
         return self._evaluate(now, member)
 
     def endpoint_states(self) -> list[tuple[str, MemberState]]:
-        """Nodes and the states that edges are told of them."""
+        """Returns the nodes with the states that are published to edges."""
         return [
             (member.name, PUBLISHED_STATES.get(member.state, member.state))
             for member in self.members.values()
@@ -262,18 +262,18 @@
         ]
 
     def _compensate_pause(self, now: float) -> None:
-        """Extends leases after a pause of this planner, or a jump of its clock: all were silent then."""
-        lost = now - self.last_tick_at - MAX_TICK_GAP
+        """Extends all leases by a pause of this planner or a clock jump, as no reports arrived during it."""
+        excess = now - self.last_tick_at - MAX_TICK_GAP
         self.last_tick_at = max(self.last_tick_at, now)
-        if lost <= 0:
+        if excess <= 0:
             return
         for member in self.members.values():
             if member.state != MemberState.REMOVED:
-                member.lease_expiry += lost + MAX_TICK_GAP
-                member.last_report_at += lost + MAX_TICK_GAP
+                member.lease_expiry += excess + MAX_TICK_GAP
+                member.last_report_at += excess + MAX_TICK_GAP
 
     def _is_own_failure(self, now: float, expiring: list[Member]) -> bool:
-        """Whether so many leases expire together that this planner must be cut off; true for a while only."""
+        """Whether so many leases expire together that this planner is likely partitioned; limited in time."""
         living = sum(member.is_living for member in self.members.values())
         window = MASS_FAILURE_WINDOW + MASS_FAILURE_GRACE
         together = sum(now - member.lease_expiry < window for member in expiring)
--- a/rushmux/fleet/placement/__init__.py
+++ b/rushmux/fleet/placement/__init__.py
@@ -1,11 +1,11 @@
-"""Placement: which node holds which cell, rebalanced by as few moves as make the loads even.
+"""Placement of cells on nodes, balanced with few moves.
 
-A cell (a shard of data) has a weight, which is the load on it, and a size, which is the cost of a move; a
-node has a capacity and a zone.  A plan makes the fullest node as empty as it can within a budget of moved
-size, keeps each zone under its share, and changes nothing where the gain is small.  This is a local search
-of moves and swaps, as in Aggarwal, Motwani and Zhu, "The Load Rebalancing Problem" (SPAA 2003).
+A cell (a shard of data) has a weight, the load on it, and a size, the cost of moving it; a node has a
+capacity and a zone.  A plan lowers the peak utilization as far as a budget of moved size allows, limits the
+load of each zone, and omits moves with little gain.  The algorithm is a local search over moves and swaps, as
+in Aggarwal, Motwani and Zhu, "The Load Rebalancing Problem" (SPAA 2003).
 
-Sans I/O and deterministic: all follows from the arguments.
+Sans I/O and deterministic.
 """
 
 from rushmux.fleet.placement.assignment import BALANCE_TOLERANCE, ZONE_OVERCOMMIT, peak_utilization
--- a/rushmux/fleet/placement/assignment.py
+++ b/rushmux/fleet/placement/assignment.py
@@ -1,15 +1,15 @@
-"""Which node has which cell while a plan is made: loads, zones, and what was moved so far."""
+"""The assignment of cells to nodes while a plan is computed, with the loads of nodes and zones."""
 
 from collections.abc import Sequence
 
 from rushmux.fleet.placement.records import Cell, Node
 
-BALANCE_TOLERANCE = 0.05  # over the mean utilization at which a node counts as full enough to take from
-ZONE_OVERCOMMIT = 1.15  # of its share by capacity: what a zone may hold
+BALANCE_TOLERANCE = 0.05  # a node is relieved only if it is this fraction above the mean utilization
+ZONE_OVERCOMMIT = 1.15  # maximum load of a zone as a multiple of its share by capacity
 
 
 def peak_utilization(cells: Sequence[Cell], nodes: Sequence[Node]) -> float:
-    """Load over capacity of the fullest node."""
+    """Returns the highest utilization (load over capacity) of any node."""
     loads = {node.name: 0.0 for node in nodes}
     for cell in cells:
         if cell.node in loads:
@@ -18,12 +18,12 @@
 
 
 class Assignment:
-    """An assignment of cells to nodes, changed by `put` and `take`.
+    """An assignment of cells to nodes, changed by `assign` and `unassign`.
 
     Args:
-        cells: All cells, where they are now.
-        nodes: The nodes that may hold cells; one at least.
-        zone_overcommit: Times its share by capacity that a zone may hold, 1 at least.
+        cells: All cells with their current nodes.
+        nodes: The nodes that may hold cells; at least one.
+        zone_overcommit: Maximum load of a zone as a multiple of its share by capacity, at least 1.
     """
 
     def __init__(self, cells: Sequence[Cell], nodes: Sequence[Node], zone_overcommit: float):
@@ -40,25 +40,25 @@
         zone_capacity: dict[str, float] = {}
         for node in nodes:
             zone_capacity[node.zone] = zone_capacity.get(node.zone, 0.0) + node.capacity
-        # A zone may hold its share and a little more, so that the loss of one is not the loss of most.
+        # Zones are kept near their share, so that the loss of one zone does not lose most of the load.
         overcommit = max(zone_overcommit, 1.0)
         self.zone_limit = {
             zone: overcommit * total_weight * share / capacity for zone, share in zone_capacity.items()
         }
         for cell in cells:
             if self.node_of[cell.name] is not None:
-                self.put(cell, self.node_of[cell.name])
+                self.assign(cell, self.node_of[cell.name])
 
-    def put(self, cell: Cell, node: str) -> None:
-        """Gives a cell that no node has to a node."""
+    def assign(self, cell: Cell, node: str) -> None:
+        """Assigns an unassigned cell to a node."""
         self.node_of[cell.name] = node
         self.cells_on[node][cell.name] = cell
         self.load[node] += cell.weight
         zone = self.nodes[node].zone
         self.zone_load[zone] = self.zone_load.get(zone, 0.0) + cell.weight
 
-    def take(self, cell: Cell) -> None:
-        """Takes a cell off its node."""
+    def unassign(self, cell: Cell) -> None:
+        """Removes a cell from its node."""
         node = self.node_of[cell.name]
         del self.cells_on[node][cell.name]
         self.load[node] -= cell.weight
@@ -66,24 +66,25 @@
         self.node_of[cell.name] = None
 
     def utilization(self, node: str) -> float:
-        """Load over capacity of a node."""
+        """Returns a node's load over its capacity."""
         return self.load[node] / self.nodes[node].capacity
 
     def peak_utilization(self) -> float:
-        """Utilization of the fullest node."""
+        """Returns the highest utilization of any node."""
         return max(self.utilization(name) for name in self.nodes)
 
     def fits_zone(self, weight: float, node: str, source: str | None = None) -> bool:
-        """Whether a zone may take `weight` more; a move within a zone always fits."""
+        """Whether the node's zone has room for `weight` more; a move within a zone always fits."""
         zone = self.nodes[node].zone
         if source is not None and self.nodes[source].zone == zone:
             return True
         return self.zone_load.get(zone, 0.0) + weight <= self.zone_limit[zone] * (1 + BALANCE_TOLERANCE)
 
     def move_cost(self, cell: Cell, target: str) -> float:
-        """Size that a move adds to what is moved in all.
+        """Returns how much a move changes the total moved size.
 
-        Nothing for a cell that no node had, or that only goes elsewhere; a move back to its origin refunds.
+        It is zero for a cell without an origin or one that is already away from it, and negative for a move
+        back to the origin.
         """
         origin = self.origin[cell.name]
         if origin is None:
@@ -93,7 +94,7 @@
         return added - refunded
 
     def moved_size(self) -> float:
-        """Size of the cells that are not where they were, those that no node had excluded."""
+        """Returns the total size of cells away from their origins, excluding cells without one."""
         return sum(
             cell.size
             for cell in self.cells.values()
--- a/rushmux/fleet/placement/plan.py
+++ b/rushmux/fleet/placement/plan.py
@@ -1,4 +1,4 @@
-"""Plans of moves for all cells: by local search, and a greedy baseline."""
+"""Placement plans: by local search, and a greedy baseline."""
 
 from collections.abc import Sequence
 from heapq import heapify, heappop, heappush
@@ -15,16 +15,16 @@
     budget: float = float("inf"),
     zone_overcommit: float = ZONE_OVERCOMMIT,
 ) -> PlacementPlan:
-    """Plans moves for cells that no node has, whatever the budget, and then for balance within it.
+    """Plans moves that place all unassigned cells, then moves for balance within the budget.
 
     Args:
-        cells: All cells, where they are now.
+        cells: All cells with their current nodes.
         nodes: The nodes that may hold cells.
-        budget: Size that may be moved for balance.
-        zone_overcommit: Times its share by capacity that a zone may hold, 1 at least.
+        budget: Maximum total size of moves for balance.
+        zone_overcommit: Maximum load of a zone as a multiple of its share by capacity, at least 1.
 
     Raises:
-        NoNodesError: A ValueError: there is no node at all.
+        NoNodesError: There are no nodes; a ValueError.
     """
     if not nodes:
         raise NoNodesError
@@ -38,7 +38,7 @@
 
 
 def greedy_plan(cells: Sequence[Cell], nodes: Sequence[Node]) -> PlacementPlan:
-    """A baseline: places all cells anew, the heaviest first on the emptiest node."""
+    """Plans anew for all cells as a baseline: the heaviest cell first, each on the least utilized node."""
     loads = [(0.0, node.name) for node in nodes]
     capacity = {node.name: node.capacity for node in nodes}
     heapify(loads)
@@ -59,24 +59,24 @@
 
 
 def _place_unassigned(assignment: Assignment, cells: Sequence[Cell]) -> None:
-    """Places cells that no node has, the heaviest first, each on the node that it leaves the least full."""
+    """Assigns unassigned cells, heaviest first, each to the least utilized node whose zone has room."""
     heap = [(assignment.utilization(name), name) for name in assignment.nodes]
     heapify(heap)
     unassigned = [cell for cell in cells if assignment.node_of[cell.name] is None]
     for cell in sorted(unassigned, key=heaviest_first):
-        popped = _emptiest_until_zone_fits(assignment, heap, cell)
+        popped = _pop_until_zone_fits(assignment, heap, cell)
         fits = assignment.fits_zone(cell.weight, popped[-1])
-        assignment.put(cell, popped[-1] if fits else popped[0])
+        assignment.assign(cell, popped[-1] if fits else popped[0])
         for name in popped:
             heappush(heap, (assignment.utilization(name), name))
 
 
-def _emptiest_until_zone_fits(assignment: Assignment, heap: list[tuple[float, str]], cell: Cell) -> list[str]:
-    """Pops the emptiest nodes up to one whose zone has room; all of them where no zone has."""
+def _pop_until_zone_fits(assignment: Assignment, heap: list[tuple[float, str]], cell: Cell) -> list[str]:
+    """Pops the least utilized nodes up to the first whose zone has room, or all if no zone has."""
     popped = []
     while heap:
         utilization, name = heappop(heap)
-        if utilization != assignment.utilization(name):  # an outdated entry
+        if utilization != assignment.utilization(name):  # outdated heap entry
             heappush(heap, (assignment.utilization(name), name))
             continue
         popped.append(name)
@@ -86,7 +86,7 @@
 
 
 def _moves(assignment: Assignment, cells: Sequence[Cell]) -> tuple[Move, ...]:
-    """The moves from where cells were: forced ones first, then what eases the fullest nodes."""
+    """Returns the moves from the origins: forced ones first, then those off the most utilized nodes."""
     origin = assignment.origin
     moves = [
         Move(cell.name, origin[cell.name], assignment.node_of[cell.name], origin[cell.name] is None)
--- a/rushmux/fleet/placement/records.py
+++ b/rushmux/fleet/placement/records.py
@@ -1,10 +1,10 @@
-"""Cells, nodes, and plans of moves."""
+"""Cells, nodes, moves and placement plans."""
 
 from typing import NamedTuple
 
 
 class Cell(NamedTuple):
-    """A shard of data: the load on it, what a move costs, and the node that has it (None: none now)."""
+    """A shard of data: its load, the cost of moving it, and the node that holds it, if any."""
 
     name: int
     weight: float
@@ -21,7 +21,7 @@
 
 
 class Move(NamedTuple):
-    """A cell that goes to another node; `forced`: no node has it now."""
+    """A move of a cell to another node; `forced` if no node holds the cell now."""
 
     cell: int
     source: str | None
@@ -30,7 +30,7 @@
 
 
 class PlacementPlan(NamedTuple):
-    """Moves in the order that they are to be made, and the peak utilization before and after.
+    """Moves in order of execution, and the peak utilization before and after.
 
     `moved_size` includes forced moves.
     """
@@ -42,10 +42,10 @@
 
 
 def heaviest_first(cell: Cell) -> tuple[float, int]:
-    """Sort key of cells, ties by name."""
+    """Sort key by descending weight, then name."""
     return -cell.weight, cell.name
 
 
 def lightest_first(cell: Cell) -> tuple[float, int]:
-    """Sort key of cells, ties by name."""
+    """Sort key by ascending weight, then name."""
     return cell.weight, cell.name
--- a/rushmux/fleet/quotas.py
+++ b/rushmux/fleet/quotas.py
@@ -1,45 +1,45 @@
-"""Quotas: which share of a folder's limit each edge may use, so that all together never exceed it.
+"""Quotas: the share of each folder's limit that an edge may use, so that all edges stay within the limit.
 
-The planner grants quotas; an edge uses what it was granted until its lease expires, and a safe quota after
-that.  Nothing is assumed of messages: they may be lost, repeated, late and out of order, and two clocks may
-differ by anything but their rates (`MAX_CLOCK_DRIFT`).
+The planner grants quotas.  An edge uses its granted quotas until its lease expires, then a fixed safe quota.
+Messages may be lost, duplicated, delayed and reordered; clocks may differ, but their rates by no more than
+`MAX_CLOCK_DRIFT`.
 
-The invariant: for each folder, the sum over all edges of the most that each may still use is at most the
-limit.  So quotas go down everywhere before they go up anywhere: what was lowered is free only when the edge
-confirmed it, or when its lease has expired.
+Invariant: for each folder, the maximum usage that edges may still have adds up to at most the limit.  Quotas
+are therefore lowered before others are raised: the freed share is granted again only once the edge has
+confirmed the lower quota or its lease has expired.
 
-Sans I/O and without a clock: times are seconds of the caller's.  Quotas and demands are fractions of a limit.
+Sans I/O; the caller passes the time in seconds.  Quotas and demands are fractions of a limit.
 """
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-LEASE_DURATION = 10.0  # seconds for which a grant holds, from the edge's request on
-MAX_CLOCK_DRIFT = 0.01  # fraction by which the rates of two clocks may differ
-SAFE_FRACTION = 0.25  # of a limit: what edges without a lease share evenly
-HYSTERESIS = 0.1  # of a quota: for smaller changes hundreds of edges would be told each second
-MIN_DEMAND = 0.02  # counted for each edge that asked for less: room for a first burst
-DEMAND_SMOOTHING = 0.5  # weight of the newest demand in an edge's moving average
-EPSILON = 1e-9  # quotas are compared to this
-MAX_REQUESTS_IN_FLIGHT = 16  # older ones are taken for lost
+LEASE_DURATION = 10.0  # seconds from the edge's request until its grant expires
+MAX_CLOCK_DRIFT = 0.01  # maximum relative difference between the rates of two clocks
+SAFE_FRACTION = 0.25  # of a limit, split evenly into the quotas of edges without a lease
+HYSTERESIS = 0.1  # of a quota; sending smaller changes would update hundreds of edges each second
+MIN_DEMAND = 0.02  # minimum demand assumed for each edge, which leaves room for a first burst
+DEMAND_SMOOTHING = 0.5  # weight of the newest demand in the moving average
+EPSILON = 1e-9
+MAX_REQUESTS_IN_FLIGHT = 16  # older requests are considered lost
 
 
 class GrantId(NamedTuple):
-    """A grant by the planner's term and its number within the term; ids rise."""
+    """Identifies a grant by the planner's term and a sequence number within it; ids increase."""
 
     term: int
     sequence: int
 
 
 class QuotaRequest(NamedTuple):
-    """What an edge sends beside its demands: the number of the request, and the grant that it applies."""
+    """A request's number and the grant that the edge currently applies; sent along with the demands."""
 
     request_id: int
     applied: GrantId
 
 
 class QuotaGrant(NamedTuple):
-    """The quotas of an edge, by folder, and the request that they answer.
+    """An edge's quotas by folder, in response to a request.
 
     The lease runs from when the edge sent the request.
     """
@@ -52,31 +52,31 @@
 
     @property
     def grant_id(self) -> GrantId:
-        """Which grant this is."""
+        """The id of this grant."""
         return GrantId(self.term, self.sequence)
 
 
 class Reservation:
-    """What one edge may use of one folder."""
+    """One edge's share of one folder's limit."""
 
     __slots__ = ("demand", "last_sent", "reserved")
 
     def __init__(self, quota: float):
         self.reserved = quota
-        """The most that it may use now, whichever grants it has received."""
+        """The maximum that the edge may use now, whichever grants it has received."""
         self.last_sent = quota
         self.demand = 0.0
-        """Moving average of what it could use."""
+        """Moving average of the reported demand."""
 
 
 class QuotaAllocator:
-    """The planner's side, for one term.
+    """Grants quotas on the planner, for one term.
 
     Args:
         term: The planner's term.
         folders: Folders that have a limit.
-        max_edges: Edges that there may ever be; each has its safe quota, heard of or not.
-        now: Seconds.
+        max_edges: Maximum number of edges; a safe quota is set aside for each, known or not.
+        now: Current time in seconds.
     """
 
     def __init__(self, term: int, folders: Iterable[str], max_edges: int, now: float):
@@ -84,13 +84,13 @@
         self.max_edges = max_edges
         self.safe_quota = SAFE_FRACTION / max_edges
         self.reservations: dict[str, dict[str, Reservation]] = {name: {} for name in folders}
-        """By folder and edge."""
+        """Reservations by folder and edge."""
         self.lease_expiry: dict[str, float] = {}
         self.last_sequence = 0
         self.pending_grants: dict[str, QuotaGrant] = {}
-        """The last grant of each edge."""
-        # A planner that has just begun does not know what another one granted: nothing above the safe quotas
-        # goes out until every lease of an older term has expired.
+        """The latest grant of each edge."""
+        # A new planner does not know which quotas its predecessor granted, so it grants no more than the safe
+        # quotas until all leases of older terms have expired.
         self.predecessor_leases_end = _planner_lease_end(now)
 
     def on_quota_request(
@@ -101,19 +101,19 @@
         demands: Mapping[str, float],
         applied: GrantId | None = None,
     ) -> QuotaGrant:
-        """Answers a request.
+        """Answers a quota request.
 
         Args:
-            now: Seconds.
-            edge: Who asks.
-            request_id: The edge's number of the request.
-            demands: What it could use of each folder.
-            applied: The grant that it applies, and nothing older.
+            now: Current time in seconds.
+            edge: Name of the requesting edge.
+            request_id: The edge's number for the request.
+            demands: The edge's demand by folder.
+            applied: The grant that the edge applies; it no longer uses any older one.
         """
         self._expire_leases(now)
         self._release_lowered(edge, applied)
         if edge not in self.lease_expiry and len(self.lease_expiry) >= self.max_edges:
-            return QuotaGrant(edge, self.term, 0, request_id, {})  # one too many: it gets nothing at all
+            return QuotaGrant(edge, self.term, 0, request_id, {})  # more edges than `max_edges`
         self.lease_expiry[edge] = _planner_lease_end(now)
         quotas = {}
         for folder, demand in demands.items():
@@ -130,13 +130,13 @@
         return grant
 
     def max_reserved(self, folder: str) -> float:
-        """The most that all edges together may use of a folder."""
+        """Returns the maximum that all edges together may use of a folder."""
         reservations = self.reservations[folder]
         reserved = sum(reservation.reserved for reservation in reservations.values())
         return reserved + self.safe_quota * (self.max_edges - len(reservations))
 
     def _release_lowered(self, edge: str, applied: GrantId | None) -> None:
-        """Frees what the last grant lowered, once the edge says that it applies that one."""
+        """Releases the shares that the latest grant lowered, once the edge confirms that it applies it."""
         last_grant = self.pending_grants.get(edge)
         if last_grant is None or applied != last_grant.grant_id:
             return
@@ -149,7 +149,7 @@
         reservation.demand += DEMAND_SMOOTHING * (demand - reservation.demand)
 
     def _quota(self, now: float, folder: str, edge: str) -> float:
-        """An edge's fair share of the limit by all demands, and no more than is free."""
+        """Returns an edge's share of the limit in proportion to its demand, capped at the free share."""
         reservations = self.reservations[folder]
         own = reservations[edge]
         if now < self.predecessor_leases_end:
@@ -165,7 +165,7 @@
         return max(self.safe_quota, min(target, self.safe_quota + max(0.0, spare - taken)))
 
     def _expire_leases(self, now: float) -> None:
-        """Edges whose leases have expired are at their safe quotas."""
+        """Drops the reservations of edges whose leases have expired; they use their safe quotas."""
         expired = [edge for edge, expiry in self.lease_expiry.items() if expiry <= now]
         for edge in expired:
             del self.lease_expiry[edge]
@@ -175,11 +175,11 @@
 
 
 class EdgeQuotas:
-    """An edge's side: what it may use now.
+    """Applies granted quotas on an edge.
 
     Args:
         edge: The edge's name.
-        max_edges: Edges that there may ever be, as for the planner.
+        max_edges: Maximum number of edges, the same value as the planner's.
     """
 
     def __init__(self, edge: str, max_edges: int):
@@ -190,10 +190,10 @@
         self.lease_expiry = 0.0
         self.last_request_id = 0
         self.sent_at: dict[int, float] = {}
-        """When each request that is in flight was sent."""
+        """Send times of requests in flight, by request id."""
 
     def request(self, now: float) -> QuotaRequest:
-        """A new request, to be sent now."""
+        """Creates a request to be sent now."""
         self.last_request_id += 1
         self.sent_at[self.last_request_id] = now
         while len(self.sent_at) > MAX_REQUESTS_IN_FLIGHT:
@@ -201,26 +201,26 @@
         return QuotaRequest(self.last_request_id, self.applied)
 
     def on_grant(self, now: float, grant: QuotaGrant) -> bool:
-        """Takes in a grant; whether it is believed: an older one, or one of no known request, is not."""
+        """Applies a grant; returns False if it is outdated, expired, or answers an unknown request."""
         requested_at = self.sent_at.get(grant.request_id)
         if requested_at is None or grant.grant_id <= self.applied:
             return False
         expiry = requested_at + LEASE_DURATION
         if expiry <= now:
-            return False  # it was under way for a whole lease
+            return False  # it arrived after the lease had expired
         self.applied = grant.grant_id
         self.quotas = dict(grant.quotas)
         self.lease_expiry = expiry
         return True
 
     def quota(self, now: float, folder: str) -> float:
-        """The share of a folder's limit that this edge may use now."""
-        # An edge that was paused wakes with old quotas: the clock is read before any is used.
+        """Returns the share of a folder's limit that this edge may use now."""
+        # After a pause of the process the quotas may be outdated, so the expiry is checked at each use.
         if now >= self.lease_expiry:
             return self.safe_quota
         return self.quotas.get(folder, self.safe_quota)
 
 
 def _planner_lease_end(now: float) -> float:
-    """When a lease that is granted now has expired at the edge, whatever the drift of its clock."""
+    """Returns when a lease granted now has surely expired at the edge, allowing for clock drift."""
     return now + LEASE_DURATION * (1 + MAX_CLOCK_DRIFT)
--- a/rushmux/fleet/raft/__init__.py
+++ b/rushmux/fleet/raft/__init__.py
@@ -1,18 +1,18 @@
-"""The replicated log of the control plane: Raft, sans I/O and without a clock of its own.
+"""The replicated log of the control plane: a sans-I/O implementation of Raft.
 
-The algorithm is that of Diego Ongaro, "Consensus: Bridging Theory and Practice" (Stanford, 2014), with the
-pre-vote (section 9.6), leaders that step down without a quorum (6.2), single-server membership changes (4.1),
-snapshots (5.1), client sessions (6.3) and read requests confirmed by a heartbeat round (6.4).
+It follows Diego Ongaro, "Consensus: Bridging Theory and Practice" (Stanford, 2014), with pre-vote (section
+9.6), leaders that step down without a quorum (6.2), single-server membership changes (4.1), snapshots (5.1),
+client sessions (6.3) and read requests confirmed by a heartbeat round (6.4).
 
-A `RaftNode` is stepped with time and messages and hands out `Ready` batches: what is to be persisted, sent
-and applied, in this order.  The caller persists first, then sends, then calls `on_persisted`: a vote or an
-acknowledgement that left before the disk had it would be a promise that a power loss breaks.
+The caller passes time and messages to a `RaftNode` and takes `Ready` batches from it: what to persist, send
+and apply, in this order.  It must persist before it sends, then call `on_persisted`: a power loss could
+otherwise undo a vote or an acknowledgement that another member relies on.
 
-Times are seconds of the caller's monotonic clock, which may begin anew with each start.  No promise to
-another member rests on a clock, so clocks may differ, drift and jump without harm to what is committed.
+Times are seconds of the caller's monotonic clock, which may restart with the process.  Safety does not depend
+on clocks, so they may differ, drift and jump.
 
-A member id is a name and the incarnation of its disk: a member whose disk was lost comes back under another
-id, has no vote, and joins by a membership change.  Under its old id it would vote twice in a term.
+A member id consists of a name and the incarnation of the member's disk.  A member that lost its disk gets a
+new id, has no vote, and joins by a membership change; under its old id it could vote twice in a term.
 """
 
 from rushmux.fleet.errors import (
--- a/rushmux/fleet/raft/elections.py
+++ b/rushmux/fleet/raft/elections.py
@@ -1,4 +1,4 @@
-"""Elections: a member's term, vote and role, with pre-votes and randomised timeouts."""
+"""Leader election: term, vote and role of a member, with pre-votes and randomised timeouts."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Collection
@@ -8,13 +8,13 @@
 from rushmux.fleet.raft.log import RaftLog
 from rushmux.fleet.raft.messages import Message, PersistentState, RequestVote, RequestVoteResponse
 
-ELECTION_TIMEOUT = 1.0  # seconds without a leader until a member seeks another, at least
-ELECTION_JITTER = 1.0  # seconds drawn on top of it, so that two candidates seldom split the votes
+ELECTION_TIMEOUT = 1.0  # minimum seconds without a leader until a member starts an election
+ELECTION_JITTER = 1.0  # maximum seconds added at random, so that candidates seldom split the votes
 JITTER_STEPS_PER_SECOND = 100
 
 
 class Role(StrEnum):
-    """What a member does in its term."""
+    """Role of a member in its term."""
 
     FOLLOWER = "follows"
     PRE_CANDIDATE = "tries"
@@ -23,13 +23,13 @@
 
 
 class ElectionParticipant(ABC):
-    """The part of a member that follows, votes and stands for election.
+    """The election part of a Raft member.
 
     Args:
-        member_id: This member's name and the incarnation of its disk.
-        state: What its disk holds.
-        now: Seconds of the caller's clock.
-        random_below: Draws an integer from 0 up to, but not including, its argument.
+        member_id: The member's name and the incarnation of its disk.
+        state: The persisted state.
+        now: Current time in seconds.
+        random_below: Returns a random integer from 0 up to, but not including, its argument.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.log = RaftLog(state)
         self.role = Role.FOLLOWER
         self.leader: str | None = None
-        """The leader of this term, where one was heard of."""
+        """The leader of this term, if known."""
         self._votes: dict[str, bool] = {}
         self._leader_heard_at = now - ELECTION_TIMEOUT
         self._outgoing: list[Message] = []
@@ -50,7 +50,7 @@
 
     @property
     def members(self) -> tuple[str, ...]:
-        """The members by the newest configuration in the log."""
+        """The members according to the newest configuration in the log."""
         return self.log.members
 
     def _send(self, message: Message) -> None:
@@ -58,7 +58,7 @@
 
     @abstractmethod
     def _become_leader(self, now: float) -> None:
-        """This member has won the election of its term."""
+        """Called when this member has won the election of its term."""
 
     def _tick_election(self, now: float) -> None:
         if now >= self._election_due_at and self.member_id in self.members:
@@ -70,14 +70,14 @@
         self._election_due_at = now + tenths / 10
 
     def is_quorum(self, names: Collection[str]) -> bool:
-        """Whether `names` hold a majority of the members."""
+        """Whether `names` include a majority of the members."""
         return configuration.is_quorum(self.members, names)
 
     def _has_recent_leader(self, now: float) -> bool:
         return self.role == Role.LEADER or now - self._leader_heard_at < ELECTION_TIMEOUT
 
     def become_follower(self, now: float, term: int, leader: str | None = None) -> None:
-        """Follows in a term, which may be a newer one."""
+        """Becomes a follower in the given term."""
         if term > self.term:
             self.term, self.voted_for = term, None
         self.role, self.leader = Role.FOLLOWER, leader
@@ -85,10 +85,10 @@
         self._reset_election_timer(now)
 
     def _start_election(self, now: float, *, pre_vote: bool) -> None:
-        """Asks all members for their votes.
+        """Requests votes from all members.
 
-        A member that was cut off would come back with a high term and depose a leader that all others hear.
-        So a pre-vote asks first whether it would be voted for, and the term rises only then.
+        A pre-vote asks whether this member would win, and the term is incremented only then.  Otherwise a
+        partitioned member would return with a high term and depose a working leader.
         """
         self.role = Role.PRE_CANDIDATE if pre_vote else Role.CANDIDATE
         self.leader = None
@@ -112,7 +112,7 @@
             self._become_leader(now)
 
     def on_request_vote(self, now: float, request: RequestVote) -> None:
-        """Grants a vote to a candidate whose log is at least as new as this one."""
+        """Grants the vote if the candidate's log is at least as up to date as this one."""
         own = self.log.last_term, self.log.last_index
         granted = (request.last_log_term, request.last_log_index) >= own
         if request.pre_vote:
@@ -126,7 +126,7 @@
         self._send(RequestVoteResponse(self.member_id, request.sender, term, request.pre_vote, granted))
 
     def on_request_vote_response(self, now: float, response: RequestVoteResponse) -> None:
-        """Counts a vote that answers the election that is on."""
+        """Counts a vote if it belongs to the current election."""
         role = Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE
         term = self.term + 1 if response.pre_vote else self.term
         if self.role == role and response.granted and response.term == term:
--- a/rushmux/fleet/raft/log.py
+++ b/rushmux/fleet/raft/log.py
@@ -1,4 +1,4 @@
-"""A member's log: entries behind a snapshot, and how far they are persisted, committed and applied."""
+"""A member's log: a snapshot, the entries after it, and how far they are persisted, committed and applied."""
 
 from collections.abc import Sequence
 
@@ -7,9 +7,9 @@
 
 
 class RaftLog:
-    """The log as this member has it in memory; what its disk lacks is handed out by `RaftNode.ready`.
+    """The log in memory; `RaftNode.ready` emits what is not persisted yet.
 
-    Indexes count from 1 and go on behind a snapshot.
+    Indexes start at 1 and continue after a snapshot.
     """
 
     def __init__(self, state: PersistentState):
@@ -19,55 +19,55 @@
         self.last_applied = state.snapshot.index
         self.persisted_index = self.last_index
         self.emitted_index = self.last_index
-        """Up to here entries were handed out to be persisted."""
+        """Index up to which entries were emitted to be persisted."""
         self.truncated_from: int | None = None
-        """Least index that was dropped since the last hand-out."""
+        """Lowest index truncated since the last emitted batch."""
         self.snapshot_to_persist: Snapshot | None = None
         self.snapshot_to_restore: Snapshot | None = None
         self.members = self.members_at(self.last_index)
-        """The newest configuration: it counts from when it is appended, committed or not."""
+        """The newest configuration; it takes effect when appended, committed or not."""
 
     def __len__(self) -> int:
-        """Entries behind the snapshot."""
+        """Number of entries after the snapshot."""
         return len(self.entries)
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry; the snapshot's where there is none behind it."""
+        """Index of the last entry, or of the snapshot if no entry follows it."""
         return self.snapshot.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry."""
+        """Term of the last entry, or of the snapshot if no entry follows it."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def entry(self, index: int) -> Entry:
-        """The entry at an index behind the snapshot."""
+        """Returns the entry at an index after the snapshot."""
         return self.entries[index - self.snapshot.index - 1]
 
     def entries_from(self, index: int, limit: int) -> tuple[Entry, ...]:
-        """At most `limit` entries from an index behind the snapshot on."""
+        """Returns up to `limit` entries, starting at an index after the snapshot."""
         offset = index - self.snapshot.index - 1
         return tuple(self.entries[offset : offset + limit])
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at an index; None where the log has no such entry (any more)."""
+        """Returns the term of the entry at an index, or None if the log does not hold that entry."""
         if index == self.snapshot.index:
             return self.snapshot.term
         offset = index - self.snapshot.index - 1
         return self.entries[offset].term if 0 <= offset < len(self.entries) else None
 
     def members_at(self, index: int) -> tuple[str, ...]:
-        """The members by the newest configuration up to an index."""
+        """Returns the members according to the newest configuration up to an index."""
         for entry in reversed(self.entries[: max(0, index - self.snapshot.index)]):
             if entry.kind == EntryKind.CONFIGURATION:
                 return entry.body
         return self.snapshot.members
 
     def possible_match_before(self, index: int) -> int:
-        """Up to where the log may agree with a leader's that has another term at `index`.
+        """Returns the last index that may match a leader's log with another term at `index`.
 
-        All entries of the term that conflicts are skipped at once, but no committed one.
+        It skips all entries of the conflicting term at once, but no committed one.
         """
         conflicting_term = self.term_at(index)
         match_index = min(index - 1, self.last_index)
@@ -76,13 +76,13 @@
         return match_index
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Appends entries; a configuration among them is in effect at once."""
+        """Appends entries; a configuration among them takes effect immediately."""
         self.entries += entries
         if any(entry.kind == EntryKind.CONFIGURATION for entry in entries):
             self.members = self.members_at(self.last_index)
 
     def merge(self, prev_index: int, entries: Sequence[Entry]) -> None:
-        """Takes over a leader's entries behind `prev_index`; own entries that conflict are dropped."""
+        """Appends a leader's entries after `prev_index`, replacing conflicting ones."""
         for offset, entry in enumerate(entries):
             index = prev_index + 1 + offset
             known_term = self.term_at(index)
@@ -94,8 +94,8 @@
             return
 
     def truncate(self, index: int) -> None:
-        """Drops the entries from an index on, none of which may be committed."""
-        assert index > self.commit_index, "what was decided is never undone"
+        """Removes the entries from an index on; none of them may be committed."""
+        assert index > self.commit_index, "committed entries must not be truncated"
         del self.entries[index - self.snapshot.index - 1 :]
         self.truncated_from = index if self.truncated_from is None else min(self.truncated_from, index)
         self.persisted_index = min(self.persisted_index, index - 1)
@@ -103,17 +103,17 @@
         self.members = self.members_at(self.last_index)
 
     def compact(self, index: int, state: bytes) -> None:
-        """Replaces the entries up to an applied index by a snapshot of the state that they made.
+        """Replaces the entries up to an applied index by a snapshot of the resulting state.
 
         Raises:
-            CompactionError: The index is not applied yet, or a snapshot holds it already.
+            CompactionError: The index is not applied yet, or already part of the snapshot.
         """
         if not self.snapshot.index < index <= self.last_applied:
             raise CompactionError(index, self.last_applied, self.snapshot.index)
         self._drop_until(Snapshot(index, self.term_at(index), self.members_at(index), state))
 
     def install(self, snapshot: Snapshot) -> None:
-        """Takes over a leader's snapshot; one that holds nothing beyond what is committed is ignored."""
+        """Installs a leader's snapshot, unless everything in it is already committed here."""
         if snapshot.index <= self.commit_index:
             return
         if self.term_at(snapshot.index) == snapshot.term:
@@ -138,18 +138,18 @@
         self.persisted_index = self.emitted_index = snapshot.index
 
     def unemitted_entries(self) -> tuple[tuple[int, Entry], ...]:
-        """Entries that were not handed out to be persisted, with their indexes."""
+        """Returns the entries not emitted to be persisted yet, with their indexes."""
         return self._indexed(max(self.emitted_index, self.snapshot.index) + 1, self.last_index)
 
     def unapplied_entries(self) -> tuple[tuple[int, Entry], ...]:
-        """Committed entries that were not handed out to be applied, with their indexes."""
+        """Returns the committed entries not emitted to be applied yet, with their indexes."""
         return self._indexed(self.last_applied + 1, self.commit_index)
 
     def _indexed(self, first: int, last: int) -> tuple[tuple[int, Entry], ...]:
         return tuple((index, self.entry(index)) for index in range(first, last + 1))
 
     def mark_emitted(self) -> None:
-        """All that is unpersisted and unapplied was handed out."""
+        """Records that everything unpersisted and unapplied was emitted."""
         self.snapshot_to_persist = None
         self.truncated_from = None
         self.snapshot_to_restore = None
@@ -157,7 +157,7 @@
         self.last_applied = self.commit_index
 
     def on_persisted(self, entries: Sequence[tuple[int, Entry]]) -> None:
-        """The disk has these entries; those that were dropped meanwhile do not count."""
+        """Records that these entries are on disk, ignoring any that were truncated in the meantime."""
         if not entries:
             return
         index, entry = entries[-1]
--- a/rushmux/fleet/raft/messages.py
+++ b/rushmux/fleet/raft/messages.py
@@ -1,4 +1,4 @@
-"""What Raft members persist and what they send each other: records without behaviour.
+"""Records that Raft members persist or send to each other.
 
 Messages are named after the RPCs of the Raft paper; each has `sender`, `receiver` and the sender's `term`.
 """
@@ -9,26 +9,26 @@
 
 
 class EntryKind(StrEnum):
-    """What an entry holds; the values are those on the wire and on disks."""
+    """The kind of a log entry; the values are used on the wire and on disk."""
 
     NOOP = "begin"
-    """Appended by a new leader, to commit the entries of older terms with it."""
+    """Appended by a new leader, which commits the entries of older terms along with it."""
     COMMAND = "order"
-    """Bytes for the state machine."""
+    """A command for the state machine."""
     CONFIGURATION = "members"
-    """The members from this entry on."""
+    """The members as of this entry."""
 
 
 def entry_kind(text: str) -> EntryKind | str:
-    """The kind of an entry read from a wire or a disk.
+    """Parses the kind of an entry from the wire or the disk.
 
-    A kind of a newer version stays as it is: the entry is kept and applied as a no-op.
+    An unknown kind, written by a newer version, is returned as is: the entry is kept and applied as a no-op.
     """
     return EntryKind(text) if text in set(EntryKind) else text
 
 
 class Entry(NamedTuple):
-    """A log entry.  `body`: bytes of a command, or the member ids of a configuration."""
+    """A log entry; `body` holds the bytes of a command or the member ids of a configuration."""
 
     term: int
     kind: EntryKind | str
@@ -36,7 +36,7 @@
 
 
 class Snapshot(NamedTuple):
-    """The state that all entries up to `index` made, so that they need not be kept."""
+    """The state after all entries up to `index`, which it replaces."""
 
     index: int
     term: int
@@ -45,14 +45,14 @@
 
 
 class HardState(NamedTuple):
-    """The current term, and the candidate that this member voted for in it."""
+    """The current term and the candidate voted for in it."""
 
     term: int
     voted_for: str | None
 
 
 class PersistentState(NamedTuple):
-    """What a disk holds at a start; the entries follow the snapshot."""
+    """The state read from disk at startup; the entries follow the snapshot."""
 
     term: int
     voted_for: str | None
@@ -61,7 +61,7 @@
 
 
 class RequestVote(NamedTuple):
-    """A candidate asks for a vote.  `pre_vote`: only whether it would be granted."""
+    """A candidate's request for a vote, or with `pre_vote` the question whether it would be granted."""
 
     sender: str
     receiver: str
@@ -72,7 +72,7 @@
 
 
 class RequestVoteResponse(NamedTuple):
-    """The answer to a `RequestVote`; a granted pre-vote carries the term that was asked for."""
+    """The response to a `RequestVote`; a granted pre-vote carries the requested term."""
 
     sender: str
     receiver: str
@@ -82,9 +82,9 @@
 
 
 class AppendEntries(NamedTuple):
-    """Entries behind `prev_log_index` and the leader's commit index; without entries a heartbeat.
+    """Entries after `prev_log_index` and the leader's commit index; a heartbeat if it has no entries.
 
-    `round` counts the leader's broadcasts: a follower that echoes it heard the leader after the round began.
+    `round` counts the leader's broadcasts; a follower that echoes it has received a message of that round.
     """
 
     sender: str
@@ -98,7 +98,7 @@
 
 
 class InstallSnapshot(NamedTuple):
-    """A snapshot, for a follower that needs entries which the leader no longer keeps."""
+    """A snapshot for a follower that lacks entries which the leader no longer holds."""
 
     sender: str
     receiver: str
@@ -108,9 +108,9 @@
 
 
 class AppendEntriesResponse(NamedTuple):
-    """The answer to `AppendEntries` and `InstallSnapshot`.
+    """The response to `AppendEntries` and `InstallSnapshot`.
 
-    `match_index`: up to where the follower's log is the leader's; without `success`, up to where it may be.
+    The follower's log matches the leader's up to `match_index`; without `success` it is only an upper bound.
     """
 
     sender: str
@@ -125,24 +125,24 @@
 
 
 class Ready(NamedTuple):
-    """A batch of work for the caller, in this order: persist and sync, send, apply, then `on_persisted`."""
+    """Work for the caller, in this order: persist and sync, send, apply, then call `on_persisted`."""
 
     hard_state: HardState | None = None
-    """Where it changed."""
+    """Set if it changed."""
     snapshot: Snapshot | None = None
-    """Replaces what is on disk up to its index."""
+    """Replaces the data on disk up to its index."""
     truncate_from: int | None = None
-    """The disk's entries from this index on are dropped before `entries` are appended."""
+    """Entries on disk from this index on are removed before `entries` are appended."""
     entries: tuple[tuple[int, Entry], ...] = ()
     """Entries to append, each with its index."""
     messages: tuple[Message, ...] = ()
-    """To be sent once all of the above is synced."""
+    """Messages to send once all of the above is synced."""
     restore: Snapshot | None = None
-    """The state that the state machine takes over before `committed` is applied."""
+    """Snapshot to restore the state machine from before `committed` is applied."""
     committed: tuple[tuple[int, Entry], ...] = ()
     """Entries to apply, each with its index."""
 
 
 def bootstrap(members: Iterable[str]) -> PersistentState:
-    """The disk of a new log with these members; each of them begins with it, once."""
+    """Returns the initial state of a new log, with which each of its members starts once."""
     return PersistentState(0, None, Snapshot(0, 0, tuple(sorted(members)), b""))
--- a/rushmux/fleet/raft/node.py
+++ b/rushmux/fleet/raft/node.py
@@ -1,4 +1,4 @@
-"""One Raft member: proposals, replication, and messages in and out."""
+"""A Raft member: proposals, replication, and message handling."""
 
 from collections.abc import Callable, Iterable
 
@@ -22,60 +22,60 @@
 )
 from rushmux.fleet.raft.replication import ReplicationProgress
 
-HEARTBEAT_INTERVAL = 0.25  # seconds: three heartbeats may be lost before anybody seeks another leader
-MAX_UNCOMMITTED_ENTRIES = 1_024  # beyond it nothing more is proposed
+HEARTBEAT_INTERVAL = 0.25  # seconds; three heartbeats may be lost before an election starts
+MAX_UNCOMMITTED_ENTRIES = 1_024  # further proposals are rejected
 
 
 class RaftNode(ElectionParticipant):
-    """One member of the log; see `ElectionParticipant` for its arguments."""
+    """A Raft member; see `ElectionParticipant` for the arguments."""
 
     def __init__(
         self, member_id: str, state: PersistentState, now: float, random_below: Callable[[int], int]
     ):
         super().__init__(member_id, state, now, random_below)
         self.learners: dict[str, bool] = {}
-        """Those that the log is sent to before they become members."""
+        """Nodes that receive the log before they become members (an ordered set)."""
         self.round = 0
-        """Broadcasts that this member made as a leader."""
+        """Number of broadcasts this member has sent as a leader."""
         self.progress = ReplicationProgress(member_id)
         self._broadcast_at = 0.0
         self._emitted_hard_state = HardState(self.term, self.voted_for)
 
     @property
     def snapshot(self) -> Snapshot:
-        """What stands in place of the entries that were compacted."""
+        """The snapshot that replaces the compacted entries."""
         return self.log.snapshot
 
     @property
     def last_applied(self) -> int:
-        """Index up to which committed entries were handed out."""
+        """Index up to which committed entries were emitted to be applied."""
         return self.log.last_applied
 
     # Time and roles.
 
     def tick(self, now: float) -> None:
-        """Seeks votes, sends heartbeats, or steps down; to be called every 0.1 s or so."""
+        """Starts an election, sends heartbeats or steps down, as due; to be called about every 0.1 s."""
         if self.role == Role.LEADER:
             self._tick_leader(now)
         else:
             self._tick_election(now)
 
     def _tick_leader(self, now: float) -> None:
-        # A leader that is cut off would go on promising what nobody commits.
+        # A partitioned leader would keep accepting proposals that cannot be committed.
         if not self.is_quorum(self.progress.recent_contacts(now, ELECTION_TIMEOUT)):
             self.become_follower(now, self.term)
         elif now - self._broadcast_at >= HEARTBEAT_INTERVAL:
             self._broadcast(now)
 
     def become_follower(self, now: float, term: int, leader: str | None = None) -> None:
-        """Follows in a term, which may be a newer one."""
+        """Becomes a follower in the given term."""
         super().become_follower(now, term, leader)
         self.learners = {}
 
     def _become_leader(self, now: float) -> None:
         self.role, self.leader = Role.LEADER, self.member_id
         self.progress = ReplicationProgress(self.member_id, self.members, now)
-        # Entries of older terms are not committed by counting replicas; one of the leader's own commits them.
+        # Entries of older terms are committed only along with an entry of the leader's own term.
         self.log.append([Entry(self.term, EntryKind.NOOP, b"")])
         self._broadcast(now)
 
@@ -89,11 +89,11 @@
         """Appends a command.
 
         Returns:
-            Its index and term: the command holds once the entry at this index is committed with this term.
+            Its index and term; it takes effect once the entry at this index is committed with this term.
 
         Raises:
             NotLeaderError: This member does not lead.
-            LogFullError: Too many entries wait to be committed.
+            LogFullError: Too many entries are uncommitted.
         """
         self._require_leader()
         if self.log.last_index - self.log.commit_index >= MAX_UNCOMMITTED_ENTRIES:
@@ -101,7 +101,7 @@
         return self._append_own(now, EntryKind.COMMAND, body)
 
     def add_learner(self, now: float, name: str) -> None:
-        """Sends the log to one that is no member yet, so that it has caught up when it becomes one.
+        """Replicates the log to a non-member, so that it is caught up before it becomes a member.
 
         Raises:
             NotLeaderError: This member does not lead.
@@ -111,11 +111,11 @@
         self._replicate_to(name)
 
     def change_members(self, now: float, members: Iterable[str]) -> tuple[int, int]:
-        """Appends a configuration by which one member joins or leaves; its index and term.
+        """Appends a configuration that adds or removes one member; returns its index and term.
 
         Raises:
             NotLeaderError: This member does not lead.
-            MembershipChangeError: The change cannot be made, or not yet.
+            MembershipChangeError: The change is invalid, or not possible yet.
         """
         self._require_leader()
         change = configuration.plan_change(self.members, members)
@@ -128,13 +128,15 @@
     def _require_change_possible(self, change: MembershipChange) -> None:
         commit_index = self.log.commit_index
         if self.log.members_at(commit_index) != self.members:
-            raise MembershipChangeError("the change before it is not decided", change.members)
-        # Two leaders, each with a change that the other never heard of, would have separate majorities.
+            raise MembershipChangeError("the previous membership change is not committed yet", change.members)
+        # Otherwise two leaders with different pending changes could rely on disjoint majorities.
         if self.log.term_at(commit_index) != self.term:
-            raise MembershipChangeError("this leader has decided nothing of its own yet", change.members)
+            raise MembershipChangeError(
+                "this leader has not committed an entry of its term yet", change.members
+            )
         if change.added is not None and self.progress.match_index.get(change.added, 0) < commit_index:
             raise MembershipChangeError(
-                f"{change.added} has not caught up: let it learn first", change.members
+                f"{change.added} has not caught up; add it as a learner first", change.members
             )
 
     def _append_own(self, now: float, kind: EntryKind, body: bytes | tuple[str, ...]) -> tuple[int, int]:
@@ -143,14 +145,14 @@
         return self.log.last_index, self.term
 
     def compact(self, index: int, state: bytes) -> None:
-        """Replaces entries up to an applied index by a snapshot of the state that they made.
+        """Replaces entries up to an applied index by a snapshot of the resulting state.
 
         Raises:
-            CompactionError: The index is not applied yet, or a snapshot holds it already.
+            CompactionError: The index is not applied yet, or already part of the snapshot.
         """
         self.log.compact(index, state)
 
-    # Replication, the leader's side.
+    # Replication on the leader.
 
     def _broadcast(self, now: float) -> None:
         self._broadcast_at = now
@@ -164,28 +166,28 @@
         self._send(self.progress.next_message(name, self.log, term=self.term, round_=self.round))
 
     def _advance_commit_index(self, now: float) -> None:
-        """Commits what the disks of a majority have, this member's included."""
+        """Commits the entries that a majority has persisted, counting this member."""
         index = self.progress.replicated_index(self.members, self.log.persisted_index)
         if index <= self.log.commit_index or self.log.term_at(index) != self.term:
             return
         self.log.commit_index = index
-        if self.member_id not in self.log.members_at(index):  # it has led its own removal
+        if self.member_id not in self.log.members_at(index):  # it was removed by a change it led
             self._broadcast(now)
             self.become_follower(now, self.term)
 
     @property
     def confirmed_round(self) -> int:
-        """The newest round that a majority echoed: this member still led after the round began.
+        """The newest round that a majority echoed, which proves that this member led when the round began.
 
-        A read that came before the round began may be answered from what is applied.  0 while it does not
-        lead, and until an entry of its own term is committed: before that it may not know what was.
+        A read that arrived before that round may be answered from the applied state.  It is 0 if this member
+        does not lead or has not committed an entry of its term, as it may not know all committed entries.
         """
         if self.role != Role.LEADER or self.log.term_at(self.log.commit_index) != self.term:
             return 0
         return self.progress.confirmed_round(self.members, self.round)
 
     def on_append_entries_response(self, now: float, response: AppendEntriesResponse) -> None:
-        """Takes in how far a follower is, and sends it what it lacks."""
+        """Records a follower's progress and sends it missing entries."""
         if self.role != Role.LEADER or response.sender not in (*self.members, *self.learners):
             return
         self.progress.on_response(now, response)
@@ -195,13 +197,13 @@
         if self.role == Role.LEADER and (behind or not response.success):
             self._replicate_to(response.sender)
 
-    # Replication, the follower's side.
+    # Replication on a follower.
 
     def on_append_entries(self, now: float, request: AppendEntries) -> None:
-        """Appends a leader's entries where the log agrees before them, and says up to where it does."""
+        """Appends a leader's entries if the logs match before them, and responds with the matching index."""
         prev_index, entries = request.prev_log_index, request.entries
         snapshot_index = self.log.snapshot.index
-        if prev_index < snapshot_index:  # a late message: what the snapshot holds was committed
+        if prev_index < snapshot_index:  # a delayed message; the snapshot's entries are committed
             entries = entries[snapshot_index - prev_index :]
             prev_index = snapshot_index
         elif self.log.term_at(prev_index) != request.prev_log_term:
@@ -214,7 +216,7 @@
         self._acknowledge(request, success=True, match_index=match_index)
 
     def on_install_snapshot(self, now: float, request: InstallSnapshot) -> None:
-        """Takes over a leader's snapshot in place of entries that the leader no longer keeps."""
+        """Installs a leader's snapshot in place of entries that the leader no longer holds."""
         self.log.install(request.snapshot)
         self._acknowledge(request, success=True, match_index=request.snapshot.index)
 
@@ -227,15 +229,15 @@
             )
         )
 
-    # Messages in and out.
+    # Messages and Ready batches.
 
     def receive(self, now: float, message: Message) -> None:
-        """Takes in a message; one for another member is ignored."""
+        """Handles a message; messages to other members are ignored."""
         if message.receiver != self.member_id:
             return
         if message.term > self.term and not _is_pre_vote(message):
             if isinstance(message, RequestVote) and self._has_recent_leader(now):
-                return  # the candidate is cut off from a leader that is heard here
+                return  # the leader is alive; the candidate is partitioned from it
             self.become_follower(now, message.term)
         if message.term < self.term:
             self._answer_stale(message)
@@ -246,7 +248,7 @@
         self._dispatch(now, message)
 
     def _answer_stale(self, message: Message) -> None:
-        """Tells the sender of a request of an older term the term by now."""
+        """Answers a request of an older term with the current term."""
         if isinstance(message, RequestVote):
             self._send(
                 RequestVoteResponse(self.member_id, message.sender, self.term, message.pre_vote, False)
@@ -268,7 +270,7 @@
                 self.on_append_entries_response(now, message)
 
     def ready(self) -> Ready | None:
-        """What is to be done now, handed out once; None where there is nothing."""
+        """Returns the pending work, each item once, or None if there is none."""
         hard_state = HardState(self.term, self.voted_for)
         ready = Ready(
             hard_state=hard_state if hard_state != self._emitted_hard_state else None,
@@ -287,14 +289,14 @@
         return ready
 
     def on_persisted(self, now: float, ready: Ready) -> None:
-        """The disk has what was handed out."""
+        """Records that the batch is on disk."""
         self.log.on_persisted(ready.entries)
         if self.role == Role.LEADER:
             self._advance_commit_index(now)
 
 
 def _is_pre_vote(message: Message) -> bool:
-    """Whether a message has the term of a pre-vote, which nobody is in yet."""
+    """Whether the message's term is only proposed by a pre-vote, not entered by any member."""
     if isinstance(message, RequestVote):
         return message.pre_vote
     return isinstance(message, RequestVoteResponse) and message.pre_vote and message.granted
--- a/rushmux/fleet/raft/sessions.py
+++ b/rushmux/fleet/raft/sessions.py
@@ -1,23 +1,23 @@
-"""Client sessions: a command that is proposed again is not applied again (Ongaro, section 6.3)."""
+"""Client sessions, which keep a retried command from being applied twice (Ongaro, section 6.3)."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-MAX_CLIENT_SESSIONS = 16_384  # the session that was silent for longest is forgotten first
+MAX_CLIENT_SESSIONS = 16_384  # the least recently used session is evicted first
 
 
 class ClientResponse(NamedTuple):
-    """The last command of a client that was applied, and its answer."""
+    """Sequence number and answer of a client's last applied command."""
 
     sequence: int
     answer: str
 
 
 class ClientSessions:
-    """The last answer given to each client.
+    """The last answer to each client.
 
-    Part of the state that the log makes: the same on every member, and kept in snapshots as `to_rows`.
+    Part of the replicated state: equal on all members, and stored in snapshots as `to_rows` returns it.
     """
 
     def __init__(self, rows: Iterable[tuple[str, int, str]] = ()):
@@ -26,7 +26,7 @@
         )
 
     def apply_once(self, client: str, sequence: int, apply: Callable[[], str]) -> str:
-        """The answer to a client's command; `apply` is called the first time only."""
+        """Returns the answer to a client's command, calling `apply` only the first time."""
         last = self.responses.get(client, ClientResponse(0, ""))
         if sequence < last.sequence:
             return f"refused: order {sequence} is older than {last.sequence}, which was answered"
@@ -38,5 +38,5 @@
         return answer
 
     def to_rows(self) -> list[tuple[str, int, str]]:
-        """Client, sequence and answer of each session, the longest silent first."""
+        """Returns client, sequence and answer of each session, least recently used first."""
         return [(client, response.sequence, response.answer) for client, response in self.responses.items()]
--- a/tests/fleet/test_raft.py
+++ b/tests/fleet/test_raft.py
@@ -106,7 +106,7 @@
 
 
 def test_members_change_one_at_a_time_and_only_once_the_leader_has_committed_something(leader):
-    with pytest.raises(raft.MembershipChangeError, match="decided nothing"):
+    with pytest.raises(raft.MembershipChangeError, match="not committed an entry"):
         leader.change_members(105.0, ["a", "b"])
     acknowledge(leader, 105.1, match_index=1)
     with pytest.raises(raft.MembershipChangeError, match="one at a time"):
@@ -114,7 +114,7 @@
     with pytest.raises(raft.MembershipChangeError, match="caught up"):
         leader.change_members(105.1, ["a", "b", "c", "d"])
     leader.change_members(105.1, ["a", "b"])
-    with pytest.raises(raft.MembershipChangeError, match="not decided"):
+    with pytest.raises(raft.MembershipChangeError, match="previous membership change is not committed"):
         leader.change_members(105.1, ["a"])
     assert leader.members == ("a", "b")  # it is in effect from when it is appended
 
