--- a/rushmux/fleet/policy/__init__.py
+++ b/rushmux/fleet/policy/__init__.py
@@ -1,24 +1,23 @@
-"""Rollout of a fleet's policy: a change takes hold at every member that serves, or at none.
+"""Rollout of the fleet's policy: a change takes effect at every serving member, or at none.
 
-Sans I/O and without a clock of its own, in three parts.  `PolicyStateMachine` is the state that the
-replicated log makes, the same at each planner.  `RolloutCoordinator` is what the planner that leads does
-with the lease requests of members.  `PolicyMember` is a member's side.
+Sans I/O, in three parts: `PolicyStateMachine` is the replicated state, equal on all planners;
+`RolloutCoordinator` runs on the leading planner and handles the members' lease requests; `PolicyMember` runs
+on each member.
 
-A change is staged by an entry of the log.  A member validates it, persists it beside the active policy,
-and from then on is *joint*: it applies the lesser limit of both (as a joint configuration in consensus
-does), so that it is harmless whichever way the change ends.  When every member is joint, or was silent
-until its lease expired, an entry decides the change; the rejection by one member aborts it everywhere.  A
-member whose lease has expired is *degraded*: it applies a fraction (`DEGRADED_FRACTION`) of the limits it
-knows, and a change is decided without it only where that fraction fits into its even share of the new
-limits.  So limits are down everywhere before they are up anywhere, and nobody needs a new decision to go
-on serving.
+A log entry stages a change.  A member validates the staged policy, persists it beside the active one, and is
+then *joint*: it applies the lower limit of both (like a joint configuration in consensus), which is safe
+however the change ends.  Once every member is joint or its lease has expired, another entry decides the
+change; a rejection by any member aborts it everywhere.  A member whose lease has expired is *degraded*: it
+applies `DEGRADED_FRACTION` of the limits it knows, and a change is decided without it only if that fits into
+its even share of the new limits.  Limits are therefore lowered everywhere before they are raised anywhere,
+and no member needs a new decision to continue serving.
 
-A lease runs from when the member requested it, by the member's clock; the planner counts it from when it
-answered, and longer by `MAX_CLOCK_DRIFT`.  Clocks may differ and be set; their rates may not differ by
-more than `MAX_CLOCK_DRIFT`.  The scheme is that of Gray and Cheriton, "Leases" (SOSP 1989), with fencing
-of members whose disk is older than what they reported.
+A lease runs from the member's request by the member's clock; the planner counts it from its answer, extended
+by `MAX_CLOCK_DRIFT`.  Clocks may differ and be set, but their rates may differ by at most `MAX_CLOCK_DRIFT`.
+This follows Gray and Cheriton, "Leases" (SOSP 1989), with fencing of members whose disk is older than what
+they reported.
 
-Times are seconds.  Limits are units a second, and bursts units, of all members together; 0 means
+Times are in seconds, limits in units per second and bursts in units, both for all members together; 0 means
 unlimited.
 """
 
--- a/rushmux/fleet/policy/codec.py
+++ b/rushmux/fleet/policy/codec.py
@@ -1,6 +1,6 @@
 """The stored form of policies and commands.
 
-Keys and kinds are those of logs, snapshots and kept policies on disk.
+Keys and kinds are part of the format of logs, snapshots and policy files on disk.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -28,22 +28,22 @@
 
 
 def folder_limits_from_json(rows: Iterable[Iterable[Any]]) -> tuple[FolderLimit, ...]:
-    """Limits from rows of folder, limit and burst."""
+    """Converts rows of folder, limit and burst to limits."""
     return tuple(FolderLimit(*row) for row in rows)
 
 
 def policy_to_json(policy: Policy | None) -> list | None:
-    """A policy as JSON values; None stays None."""
+    """Returns a policy as JSON values, or None for None."""
     if policy is None:
         return None
     return [policy.version, policy.text, [list(row) for row in policy.folder_limits], policy.checksum]
 
 
 def policy_from_json(values: list | None) -> Policy | None:
-    """The policy of JSON values; None stays None.
+    """Returns the policy from JSON values, or None for None.
 
     Raises:
-        PolicyChecksumError: A ValueError: the checksum is wrong.
+        PolicyChecksumError: The checksum is wrong; a ValueError.
     """
     if values is None:
         return None
@@ -121,12 +121,12 @@
 
 
 def decode_command(stored: Stored) -> Command:
-    """The command of an entry of the log.
+    """Decodes the command of a log entry.
 
     Raises:
-        UnknownCommandError: There is no such kind here.  A leader of a newer version may know it; a planner
-            that does not must reject it without a change of its state.
-        KeyError: The entry lacks a field.
+        UnknownCommandError: The kind is unknown, possibly because it was added in a newer version; it must be
+            rejected without a state change.
+        KeyError: A field is missing.
     """
     decoder = _DECODERS.get(str(stored["kind"]))
     if decoder is None:
@@ -135,7 +135,7 @@
 
 
 def encode_command(command: Command) -> dict[str, Any]:
-    """The stored form of a command that the coordinator gives to the log."""
+    """Encodes a command that the coordinator proposes to the log."""
     match command:
         case ReinstateMembers():
             return {"kind": CommandKind.REINSTATE.value, "members": list(command.members)}
@@ -154,4 +154,4 @@
                 "joint": list(command.joint),
                 "why": command.reason,
             }
-    raise TypeError(f"{type(command).__name__} is proposed by operators only")
+    raise TypeError(f"{type(command).__name__} is only proposed by operators")
--- a/rushmux/fleet/policy/commands.py
+++ b/rushmux/fleet/policy/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the policy's state machine, as typed records; `codec` has their stored form."""
+"""Commands of the policy state machine as typed records; `codec` has their stored form."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class CommandKind(StrEnum):
-    """Kinds of commands; the values are those in stored logs."""
+    """Kinds of commands; the values are used in stored logs."""
 
     BOOTSTRAP = "found"
     PROPOSE = "propose"
@@ -23,7 +23,7 @@
 
 
 class BootstrapFleet(NamedTuple):
-    """The first policy, and the members that there may ever be."""
+    """Sets the first policy and all members that the fleet can ever have."""
 
     members: tuple[str, ...]
     text: str
@@ -32,7 +32,7 @@
 
 
 class ProposeChange(NamedTuple):
-    """Stages a new policy; `base`: the version that it was made on, where that is to be checked."""
+    """Stages a new policy; if `base` is set, it must be the active version."""
 
     base: int | None
     text: str
@@ -49,7 +49,7 @@
 
 
 class DecideChange(NamedTuple):
-    """Makes the staged policy the active one; `joint`: members that had persisted it."""
+    """Activates the staged policy; `joint` are the members that have persisted it."""
 
     version: int
     joint: tuple[str, ...]
@@ -57,46 +57,46 @@
 
 
 class AbortChange(NamedTuple):
-    """Ends the staged change: it takes hold nowhere."""
+    """Ends the staged change without effect."""
 
     version: int
     reason: str
 
 
 class WithdrawChange(NamedTuple):
-    """Somebody takes a staged change back."""
+    """Withdraws the staged change."""
 
     version: int
     withdrawn_by: str
 
 
 class RecordActivation(NamedTuple):
-    """Members reported that they apply the active version."""
+    """Records that members apply the active version."""
 
     version: int
     members: tuple[str, ...]
 
 
 class ForgetMember(NamedTuple):
-    """An operator says that a member does not run and will not: nothing waits for it any more."""
+    """Stops waiting for a member that an operator declared permanently stopped."""
 
     member: str
 
 
 class ReinstateMembers(NamedTuple):
-    """Forgotten members asked for leases: they count again before they are granted any."""
+    """Reinstates forgotten members that requested leases, before any is granted."""
 
     members: tuple[str, ...]
 
 
 class DrainNode(NamedTuple):
-    """Nothing new is to go to a node."""
+    """Drains a node: it gets nothing new."""
 
     node: str
 
 
 class UndrainNode(NamedTuple):
-    """A node may be used again."""
+    """Ends a node's drain."""
 
     node: str
 
--- a/rushmux/fleet/policy/coordinator.py
+++ b/rushmux/fleet/policy/coordinator.py
@@ -1,4 +1,4 @@
-"""The leader's side of a rollout: grants leases, and says which command is to go to the log next."""
+"""The leader's part of a rollout: grants leases and chooses the next command to propose."""
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple
@@ -14,55 +14,55 @@
 from rushmux.fleet.policy.records import LEASE_DURATION, MAX_CLOCK_DRIFT, LeaseGrant, LeaseRequest, Policy
 from rushmux.fleet.policy.state_machine import PolicyStateMachine
 
-STAGE_TIMEOUT = 35.0  # seconds until a change that not all members answered is aborted: three leases
-MAX_PENDING_REQUESTS = 2_000  # lease requests that wait for one heartbeat round of the log
-MAX_NAMED_MEMBERS = 5  # in the reason of an aborted change
+STAGE_TIMEOUT = 35.0  # seconds until a change that members have not answered is aborted; three leases
+MAX_PENDING_REQUESTS = 2_000  # lease requests waiting for a heartbeat round
+MAX_NAMED_MEMBERS = 5  # members listed in the reason of an aborted change
 
 
 class PendingDecision(NamedTuple):
-    """A version that the log was asked to decide, and the members that were joint then."""
+    """A proposed decision: the version, and the members that were joint (an ordered set)."""
 
     version: int
     joint: dict[str, bool]
 
 
 class RolloutCoordinator:
-    """What the planner that leads does, for one term, from when it was elected."""
+    """Coordinates rollouts on the leading planner for one term, from its election on."""
 
     def __init__(self, state_machine: PolicyStateMachine, now: float):
         self.state_machine = state_machine
-        # The leader before may have granted a lease just before it stopped leading.
+        # The previous leader may have granted leases until it stopped leading.
         self.predecessor_leases_end = _planner_lease_end(now)
         self.lease_expiry: dict[str, float] = {}
-        """When the lease of each member expires, by this planner's clock."""
+        """Lease expiry of each member by this planner's clock."""
         self.latest_requests: dict[str, LeaseRequest] = {}
         self.pending_requests: list[tuple[int, LeaseRequest]] = []
-        """Requests that wait for a heartbeat round later than the one beside them."""
+        """Requests, each with the round on arrival; answered once a later round is confirmed."""
         self.staged_since: dict[int, float] = {}
-        """Since when a staged version is seen."""
+        """When each staged version was first seen."""
         self.returning_members: dict[str, bool] = {}
-        """Forgotten members that asked for a lease (an ordered set)."""
+        """Forgotten members that requested a lease (an ordered set)."""
         self.pending_decision: PendingDecision | None = None
 
     # Leases.
 
     def on_lease_request(self, now: float, request: LeaseRequest, round_: int) -> None:
-        """Takes in a request that came while the log's newest heartbeat round was `round_`.
+        """Queues a request that arrived while the newest heartbeat round was `round_`.
 
         It is answered once a later round is confirmed.
         """
         machine = self.state_machine
         if request.member in machine.forgotten:
-            # With an answer it would hold a lease that no decision waits for.
+            # Decisions do not wait for the leases of forgotten members, so it must be reinstated first.
             self.returning_members[request.member] = True
         elif request.member in machine.member_versions and len(self.pending_requests) < MAX_PENDING_REQUESTS:
             self.pending_requests.append((round_, request))
 
     def grant_leases(self, now: float, confirmed_round: int, term: int, index: int) -> list[LeaseGrant]:
-        """Grants for requests that came before a round which a majority echoed.
+        """Answers the requests that arrived before the round that a majority echoed.
 
-        A planner that was replaced does not know it.  What it granted by a round of before the request could
-        be older than what was decided since.
+        A replaced leader may not know that it was replaced.  An earlier round would not prove that it still
+        led when the request arrived, so its grants could be older than the latest decision.
         """
         ready = [request for round_, request in self.pending_requests if round_ < confirmed_round]
         self.pending_requests = [
@@ -72,12 +72,12 @@
         return [grant for grant in grants if grant is not None]
 
     def grant_lease(self, now: float, request: LeaseRequest, term: int, index: int) -> LeaseGrant | None:
-        """The answer to one request; None where it gets no lease now."""
+        """Answers one request; returns None if no lease may be granted now."""
         machine = self.state_machine
         if machine.active is None or request.member in machine.forgotten:
             return None
         self.latest_requests[request.member] = request
-        # A change that is being decided without this member must not find it with a lease.
+        # A member must not hold a lease when a change is decided without it.
         if self.pending_decision is not None and request.member not in self.pending_decision.joint:
             return None
         self.lease_expiry[request.member] = _planner_lease_end(now)
@@ -86,10 +86,10 @@
     def _lease_end(self, member: str) -> float:
         return self.lease_expiry.get(member, self.predecessor_leases_end)
 
-    # The rollout.
+    # Rollout.
 
     def is_joint(self, member: str, version: int) -> bool:
-        """Whether a member reported that it has persisted a staged version."""
+        """Whether a member reported that it has persisted the staged version."""
         request = self.latest_requests.get(member)
         return request is not None and request.joint_version == version
 
@@ -99,12 +99,12 @@
         return request is not None and request.active_version == version
 
     def next_command(self, now: float) -> dict[str, Any] | None:
-        """The command that is to go to the log now, in its stored form; None: none."""
+        """Returns the command to propose now, in its stored form, or None."""
         command = self._decide_next(now)
         return None if command is None else encode_command(command)
 
     def on_command_rejected(self) -> None:
-        """The log did not take the command that `next_command` gave."""
+        """Called when the log rejected the command that `next_command` returned."""
         self.pending_decision = None
 
     def _decide_next(self, now: float) -> Command | None:
@@ -142,7 +142,7 @@
         awaited = [member for member in machine.members if member not in machine.forgotten]
         not_joint = [member for member in awaited if not self.is_joint(member, staged.version)]
         leased = [member for member in not_joint if self._lease_end(member) > now]
-        # A member that was joint and is silent since may come back on an older disk that knows nothing of it.
+        # A joint member that went silent may return with an older disk that lacks the staged policy.
         silent = [member for member in awaited if member in not_joint or self._lease_end(member) <= now]
         excess = machine.degraded_excess(staged) if silent else None
         if not leased and excess is None:
@@ -152,7 +152,7 @@
         return None
 
     def _rejection(self, version: int) -> str | None:
-        """Which member cannot apply a version, and why; None: none said so."""
+        """Returns which member rejected a version and why, or None."""
         for member in self.state_machine.members:
             request = self.latest_requests.get(member)
             if request is not None and request.rejected_version == version:
@@ -167,7 +167,7 @@
 
 
 def _planner_lease_end(now: float) -> float:
-    """When a lease that is granted now has expired at the member, whatever the drift of its clock."""
+    """Returns when a lease granted now has surely expired at the member, allowing for clock drift."""
     return now + LEASE_DURATION * (1 + MAX_CLOCK_DRIFT)
 
 
--- a/rushmux/fleet/policy/member.py
+++ b/rushmux/fleet/policy/member.py
@@ -1,4 +1,4 @@
-"""A member's side of the policy: its lease, and the limits that it applies."""
+"""The member's part of a rollout: its lease and the limits it applies."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,25 +12,25 @@
     Policy,
 )
 
-MAX_REQUESTS_IN_FLIGHT = 16  # older ones are taken for lost
+MAX_REQUESTS_IN_FLIGHT = 16  # older requests are considered lost
 
 
 class Rejection(NamedTuple):
-    """A version that a member cannot apply, and why; version 0: none."""
+    """A version that a member cannot apply, and the reason; version 0 means none."""
 
     version: int
     reason: str
 
 
 class PolicyMember:
-    """A member that serves by the policy.
+    """A member that serves under the policy.
 
     Args:
         name: The member's name in the fleet.
-        active: The active policy that its disk held, if any.
-        staged: The staged policy that its disk held beside it, if any.
-        validate: Says why a policy cannot be applied; None: it can.
-        persist: Puts the active and the staged policy on disk, synced; OSError where the disk fails.
+        active: The active policy read from disk, if any.
+        staged: The staged policy read from disk, if any.
+        validate: Returns the reason why a policy cannot be applied, or None if it can.
+        persist: Writes the active and the staged policy to disk and syncs it; raises OSError on failure.
     """
 
     def __init__(
@@ -50,25 +50,25 @@
         self.last_grant_position = LogPosition(0, 0)
         self.last_request_id = 0
         self.sent_at: dict[int, float] = {}
-        """When each request that is not answered yet was sent."""
+        """Send times of recent requests, by request id."""
         self.rejected = Rejection(0, "")
         self.fenced_below = 0
-        """Nodes reject operations of versions below this one."""
+        """Nodes reject operations under versions below this one."""
 
     @property
     def active_version(self) -> int:
-        """The version that operations taken now run under; 0: none."""
+        """The version that newly accepted operations run under, or 0."""
         return self.active.version if self.active is not None else 0
 
     @property
     def newest_version(self) -> int:
-        """The newest version whose limits it keeps: what nodes compare with their fencing floor."""
+        """The newest version whose limits it obeys; nodes compare it with their fencing floor."""
         return self.staged.version if self.staged is not None else self.active_version
 
-    # The lease.
+    # Lease.
 
     def lease_request(self, now: float) -> LeaseRequest:
-        """A new request, to be sent now."""
+        """Creates a request to be sent now."""
         self.last_request_id += 1
         self.sent_at[self.last_request_id] = now
         while len(self.sent_at) > MAX_REQUESTS_IN_FLIGHT:
@@ -83,17 +83,17 @@
         )
 
     def on_grant(self, now: float, grant: LeaseGrant) -> bool:
-        """Takes in a grant; what it changes is on the disk before it holds.
+        """Applies a grant after persisting what it changes.
 
         Returns:
-            Whether it was believed and extended the lease.
+            Whether the grant was accepted.
         """
         requested_at = self.sent_at.get(grant.request_id)
         if grant.member != self.name or requested_at is None or grant.position < self.last_grant_position:
             return False
         expiry = requested_at + LEASE_DURATION
         if expiry <= now:
-            return False  # it was under way for a whole lease
+            return False  # it arrived after the lease had expired
         staged = self._accepted_stage(grant)
         if not self._accepts_active(grant.active) or not self._persist(grant, staged):
             return False
@@ -105,7 +105,7 @@
         return True
 
     def _accepted_stage(self, grant: LeaseGrant) -> Policy | None:
-        """The staged policy of a grant, where this member can apply it."""
+        """Returns the staged policy of a grant if this member can apply it."""
         staged = grant.staged
         if staged is None or staged.version == self.rejected.version:
             return None
@@ -117,20 +117,20 @@
         return staged
 
     def _accepts_active(self, active: Policy) -> bool:
-        """Whether this member can apply what is active; if not, it serves nothing from now on."""
+        """Whether this member can apply the active policy; if not, it stops serving."""
         if active.version == self.active_version:
             return True
         reason = self.validate(active)
         if reason is None:
             return True
-        # It was decided while this member was away.
+        # The policy was decided without this member.
         self.rejected = Rejection(active.version, reason)
         self.lease_expiry = None
         self.fenced_below = active.version
         return False
 
     def _persist(self, grant: LeaseGrant, staged: Policy | None) -> bool:
-        """Puts what a grant changes on disk; False where the disk fails: then the old lease goes on."""
+        """Persists what a grant changes; returns False on a disk failure, and the old lease continues."""
         unchanged = grant.active.version == self.active_version
         if unchanged and _version(staged) == _version(self.staged):
             return True
@@ -142,24 +142,24 @@
             return False
         return True
 
-    # What it may do.
+    # Serving.
 
     def on_fenced(self, floor: int) -> None:
-        """A node rejects everything older than version `floor`: this member's disk is older than it knew."""
+        """Handles a node's rejection of versions below `floor`; this member's disk is outdated."""
         self.fenced_below = max(self.fenced_below, floor)
 
     def is_serving(self) -> bool:
-        """Whether it may take operations at all."""
+        """Whether it may accept operations at all."""
         return self.active is not None and self.newest_version >= self.fenced_below
 
     def is_degraded(self, now: float) -> bool:
-        """Whether it has no lease, so that others may have decided what it does not know."""
+        """Whether it has no valid lease, so that changes may have been decided without it."""
         return self.lease_expiry is None or now >= self.lease_expiry
 
     def effective_limits(self, now: float) -> dict[str, tuple[float, float]]:
-        """Limit and burst by folder that this member applies now, as those of all members together.
+        """Returns the limit and burst to apply now, by folder, for all members together; 0 means unlimited.
 
-        It uses its even share of them.  0: unlimited.
+        The member uses its even share of them.
         """
         if not self.is_serving():
             return {}
@@ -177,5 +177,5 @@
 
 
 def _least_bound(values: tuple[float, ...]) -> float:
-    """The least of values of which 0 means unlimited."""
+    """Returns the lowest bound, where 0 means unlimited."""
     return min((value for value in values if value), default=0.0)
--- a/rushmux/fleet/policy/records.py
+++ b/rushmux/fleet/policy/records.py
@@ -1,17 +1,17 @@
-"""Policies, the records of their changes, and what members and the leader send each other."""
+"""Policies, change records, and the lease messages between members and the leader."""
 
 import json
 import zlib
 from enum import StrEnum
 from typing import NamedTuple
 
-LEASE_DURATION = 10.0  # seconds that a member applies what it was granted, from its request on
-MAX_CLOCK_DRIFT = 0.01  # fraction by which the rates of two clocks may differ
-DEGRADED_FRACTION = 0.25  # of its limits that a member applies while it has no lease
+LEASE_DURATION = 10.0  # seconds from the member's request until its lease expires
+MAX_CLOCK_DRIFT = 0.01  # maximum relative difference between the rates of two clocks
+DEGRADED_FRACTION = 0.25  # fraction of its limits that a member without a lease applies
 
 
 class FolderLimit(NamedTuple):
-    """Limit (units a second) and burst (units) of a folder, of all members together; 0: unlimited."""
+    """A folder's limit (units per second) and burst (units) for all members together; 0 means unlimited."""
 
     folder: str
     limit: float
@@ -19,7 +19,7 @@
 
 
 class Policy(NamedTuple):
-    """One version of the policy.  `text`: the JSON document that members validate and apply."""
+    """A version of the policy; `text` is the JSON document that members validate and apply."""
 
     version: int
     text: str
@@ -27,19 +27,19 @@
 
     @property
     def checksum(self) -> int:
-        """CRC-32 over version, text and limits, as stored files and the wire have it."""
+        """CRC-32 over version, text and limits, as used on disk and on the wire."""
         rows = json.dumps(
             [[folder, float(limit), float(burst)] for folder, limit, burst in self.folder_limits]
         )
         return zlib.crc32(f"{self.version}\0{self.text}\0{rows}".encode())
 
     def limits(self) -> dict[str, tuple[float, float]]:
-        """Limit and burst by folder."""
+        """Returns limit and burst by folder."""
         return {folder: (limit, burst) for folder, limit, burst in self.folder_limits}
 
 
 class ChangeOutcome(StrEnum):
-    """How a change ended; the values are those in snapshots."""
+    """How a change ended; the values are used in snapshots."""
 
     DECIDED = "decided"
     ABORTED = "ended"
@@ -47,7 +47,7 @@
 
 
 class ChangeRecord(NamedTuple):
-    """A change that has ended: how, why, and who proposed it."""
+    """A change that has ended."""
 
     version: int
     outcome: ChangeOutcome
@@ -56,17 +56,17 @@
 
 
 class LogPosition(NamedTuple):
-    """A position of the replicated log; positions compare by term first."""
+    """A position in the replicated log, ordered by term first."""
 
     term: int
     index: int
 
 
 class LeaseRequest(NamedTuple):
-    """A member asks for a lease and says what it applies.
+    """A member's request for a lease, with its state.
 
-    `active_version` and `joint_version` are the active version and the staged one that it has persisted
-    beside it; `rejected_version` is one that it cannot apply, for `rejection_reason`.  0: none.
+    `active_version` and `joint_version` are the active and the staged version that it has persisted;
+    `rejected_version` is one that it cannot apply, with the reason.  0 means none.
     """
 
     member: str
@@ -78,9 +78,9 @@
 
 
 class LeaseGrant(NamedTuple):
-    """What holds for a lease from the request on: the active policy and the staged one, if any.
+    """A lease that runs from the request, with the active policy and the staged one, if any.
 
-    `term` and `index` are the log's: a grant of an older position than one seen before is not believed.
+    `term` and `index` are the log position; members ignore grants from positions before one already seen.
     """
 
     member: str
@@ -92,5 +92,5 @@
 
     @property
     def position(self) -> LogPosition:
-        """Where the log was when the lease was granted."""
+        """The log position at which the lease was granted."""
         return LogPosition(self.term, self.index)
--- a/rushmux/fleet/policy/snapshot.py
+++ b/rushmux/fleet/policy/snapshot.py
@@ -1,4 +1,4 @@
-"""The JSON of the state machine's snapshots, which planners have on disk."""
+"""JSON snapshots of the state machine, as planners store them on disk."""
 
 import json
 from typing import TYPE_CHECKING
@@ -11,7 +11,7 @@
 
 
 def encode(machine: "PolicyStateMachine") -> bytes:
-    """The whole state of a machine."""
+    """Encodes the full state of a machine."""
     return json.dumps(
         {
             "members": machine.members,
@@ -30,10 +30,10 @@
 
 
 def decode_into(machine: "PolicyStateMachine", state: bytes) -> None:
-    """Gives a new machine the state that `encode` made.
+    """Restores the state from `encode` into a new machine.
 
     Raises:
-        ValueError: The state is damaged.
+        ValueError: The state is corrupt.
     """
     raw = json.loads(state)
     machine.members = tuple(raw["members"])
--- a/rushmux/fleet/policy/state_machine.py
+++ b/rushmux/fleet/policy/state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state of the policy: what committed commands make, the same at each planner."""
+"""The replicated state of the policy, equal on all planners that applied the same commands."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, Self
@@ -44,15 +44,15 @@
 )
 
 MAX_POLICY_BYTES = 64 << 10
-MAX_VERSIONS_IN_USE = 32  # decided since the oldest that a member may apply: their limits are all kept
-PAST_POLICIES_KEPT = 4  # policies that a revert can go back to
+MAX_VERSIONS_IN_USE = 32  # versions from the oldest one that a member may apply; all their limits are kept
+PAST_POLICIES_KEPT = 4  # policies available to a revert
 MAX_CHANGE_RECORDS = 200
 MAX_DRAINED_NODES = 10_000
-TOLERANCE = 1e-9  # limits are compared to this
+TOLERANCE = 1e-9  # for comparing limits
 
 
 class PolicyStateMachine:
-    """The state; `apply` takes commands as the log commits them."""
+    """The replicated state; `apply` executes committed commands in log order."""
 
     def __init__(self):
         self.members: tuple[str, ...] = ()
@@ -60,21 +60,21 @@
         self.staged: Policy | None = None
         self.last_version = 0
         self.proposed_by = ""
-        """Who proposed the staged change."""
+        """Author of the staged change."""
         self.member_versions: dict[str, int] = {}
-        """The oldest version that each member may apply."""
+        """The oldest version that each member may still apply."""
         self.forgotten: dict[str, bool] = {}
-        """Members that operators said will never serve again (an ordered set)."""
+        """Members that operators declared permanently stopped (an ordered set)."""
         self.drained_nodes: dict[str, bool] = {}
-        """Nodes that operators ordered to drain (an ordered set)."""
+        """Nodes that operators are draining (an ordered set)."""
         self.history: list[ChangeRecord] = []
         self.past_policies: dict[int, Policy] = {}
         self.limits_by_version: dict[int, tuple[FolderLimit, ...]] = {}
-        """Limits of all decided versions from the fencing floor on."""
+        """Limits of the decided versions from the fencing floor on."""
 
     @property
     def fencing_floor(self) -> int:
-        """No member applies an older version, but one whose disk is older than what it reported."""
+        """The oldest version still in use, except by a member whose disk is older than what it reported."""
         return min(
             (version for member, version in self.member_versions.items() if member not in self.forgotten),
             default=self.active.version if self.active is not None else 0,
@@ -84,7 +84,7 @@
         """Applies a command in its stored form.
 
         Returns:
-            What came of it, in words; a text that begins with `refused` says that nothing changed.
+            A description of the outcome; if it starts with `refused`, nothing changed.
         """
         try:
             return self._execute(decode_command(stored))
@@ -117,10 +117,10 @@
                 outcome = self.undrain(command)
         return outcome
 
-    # Changes of the policy.
+    # Policy changes.
 
     def bootstrap(self, command: BootstrapFleet) -> str:
-        """Takes the first policy, and the members that there may ever be."""
+        """Sets the first policy and all members that the fleet can ever have."""
         if self.active is not None:
             raise AlreadyBootstrappedError(self.active.version)
         self.members = command.members
@@ -158,7 +158,7 @@
         return self.propose(ProposeChange(command.base, past.text, past.folder_limits, command.proposed_by))
 
     def decide(self, command: DecideChange) -> str:
-        """Makes the staged policy the active one."""
+        """Activates the staged policy."""
         staged = self.require_staged(command.version)
         self.past_policies[self.active.version] = self.active
         while len(self.past_policies) > PAST_POLICIES_KEPT:
@@ -170,14 +170,14 @@
         return f"{staged.version} is decided"
 
     def abort(self, command: AbortChange) -> str:
-        """Ends the staged change: it takes hold nowhere."""
+        """Ends the staged change without effect."""
         staged = self.require_staged(command.version)
         self.staged = None
         self.record_change(staged.version, ChangeOutcome.ABORTED, command.reason, self.proposed_by)
         return f"{staged.version} took hold nowhere: {command.reason}"
 
     def withdraw(self, command: WithdrawChange) -> str:
-        """Takes a staged change back."""
+        """Withdraws the staged change."""
         if self.staged is None or self.staged.version != command.version:
             ended = next((change for change in self.history if change.version == command.version), None)
             if ended is None:
@@ -191,31 +191,31 @@
         return f"{command.version} is withdrawn and took hold nowhere"
 
     def require_staged(self, version: int) -> Policy:
-        """The staged policy.
+        """Returns the staged policy.
 
         Raises:
-            NotStagedError: Another version is staged, or none.
+            NotStagedError: `version` is not staged.
         """
         if self.staged is None or self.staged.version != version:
             raise NotStagedError(version)
         return self.staged
 
     def record_change(self, version: int, outcome: ChangeOutcome, reason: str, proposed_by: str) -> None:
-        """Adds to the history of changes."""
+        """Adds an ended change to the history."""
         record = ChangeRecord(version, outcome, reason, proposed_by)
         self.history = [*self.history, record][-MAX_CHANGE_RECORDS:]
 
     # Members and nodes.
 
     def record_activation(self, command: RecordActivation) -> str:
-        """Members reported that they apply the active version."""
+        """Records that members apply the active version."""
         if self.active is None or command.version != self.active.version:
             raise StaleVersionError(command.version)
         self.advance_members(command.members)
         return f"{len(command.members)} go by {self.active.version}"
 
     def advance_members(self, members: Iterable[str]) -> None:
-        """These members apply nothing older than the active version; limits nobody may apply are dropped."""
+        """Moves members to the active version and drops limits that no member may still apply."""
         for member in members:
             if member in self.member_versions:
                 self.member_versions[member] = self.active.version
@@ -225,7 +225,7 @@
         }
 
     def forget(self, command: ForgetMember) -> str:
-        """Nothing waits for a member any more."""
+        """Stops waiting for a member."""
         if command.member not in self.member_versions:
             raise UnknownMemberError(command.member)
         self.forgotten[command.member] = True
@@ -233,25 +233,25 @@
         return f"{command.member} is no longer waited for"
 
     def reinstate(self, command: ReinstateMembers) -> str:
-        """Forgotten members count again."""
+        """Reinstates forgotten members."""
         for member in command.members:
             self.forgotten.pop(member, None)
         return f"{len(command.members)} are back"
 
     def drain(self, command: DrainNode) -> str:
-        """Nothing new is to go to a node."""
+        """Drains a node: it gets nothing new."""
         if len(self.drained_nodes) >= MAX_DRAINED_NODES:
             raise TooManyDrainedError(MAX_DRAINED_NODES)
         self.drained_nodes[command.node] = True
         return f"{command.node} drains"
 
     def undrain(self, command: UndrainNode) -> str:
-        """A node may be used again."""
+        """Ends a node's drain."""
         self.drained_nodes.pop(command.node, None)
         return f"{command.node} may be used"
 
     def degraded_excess(self, policy: Policy) -> str | None:
-        """What a degraded member could use beyond its even share of a policy's limits; None: nothing.
+        """Describes how a degraded member could exceed its even share of a policy's limits, or returns None.
 
         A degraded member may apply any version from the fencing floor on.
         """
@@ -271,15 +271,15 @@
     # Snapshots.
 
     def to_snapshot(self) -> bytes:
-        """The whole state as JSON."""
+        """Returns the full state as JSON."""
         return snapshot.encode(self)
 
     @classmethod
     def from_snapshot(cls, state: bytes) -> Self:
-        """The state of `to_snapshot`; empty bytes are the initial state.
+        """Restores the state from `to_snapshot`; empty bytes give the initial state.
 
         Raises:
-            ValueError: It is damaged.
+            ValueError: The snapshot is corrupt.
         """
         machine = cls()
         if state:
@@ -288,5 +288,5 @@
 
 
 def _degraded_exceeds(old: float, new: float) -> bool:
-    """Whether what a degraded member keeps of an old bound is over the new one; 0: unlimited."""
+    """Whether the degraded fraction of an old bound exceeds the new one; 0 means unlimited."""
     return new > 0 and (not old or DEGRADED_FRACTION * old > new + TOLERANCE)
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: leases, restarts, drains, flapping, and a planner that was away itself."""
+"""Membership: leases, restarts, drains, flapping, and pauses and partitions of the planner."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 class Fleet:
-    """Nodes that report each second unless they are silent, and a planner that ticks each second."""
+    """Nodes that report once a second unless silent, and a planner that ticks once a second."""
 
     def __init__(self, count=6):
         self.now, self.members = 0.0, Membership(0.0)
@@ -38,7 +38,7 @@
         return self
 
     def states(self, name):
-        """All states that a member had, in turn."""
+        """All states that a member had, in order."""
         return [change.state for change in self.changes if change.member == name]
 
     def published(self, name):
@@ -71,7 +71,7 @@
     assert fleet.published("n1") == MemberState.READY
 
 
-def test_a_planner_that_was_paused_removes_nobody(fleet):
+def test_a_paused_planner_removes_no_member(fleet):
     fleet.run(10)
     fleet.now += 60.0
     fleet.changes += fleet.members.tick(fleet.now)
@@ -87,7 +87,7 @@
     assert not fleet.removed()
 
 
-def test_a_planner_that_is_cut_off_keeps_the_fleet_for_a_while(fleet):
+def test_a_partitioned_planner_keeps_all_members_for_a_grace_period(fleet):
     fleet.run(10)
     fleet.silent = set(fleet.incarnations)
     fleet.run(LEASE_DURATION + 3)
@@ -98,14 +98,14 @@
     assert all(fleet.states(name)[-1] == MemberState.READY for name in fleet.incarnations)
 
 
-def test_a_fleet_that_is_truly_down_is_removed_in_the_end(fleet):
+def test_a_fleet_that_is_down_is_removed_after_the_grace_period(fleet):
     fleet.run(10)
     fleet.silent = set(fleet.incarnations)
     fleet.run(LEASE_DURATION + MASS_FAILURE_GRACE + 4)
     assert all(fleet.states(name)[-1] == MemberState.REMOVED for name in fleet.incarnations)
 
 
-def test_a_rack_that_fails_is_removed_at_once_where_others_live():
+def test_a_failed_rack_is_removed_at_once_if_other_nodes_live():
     fleet = Fleet(10).run(10)
     fleet.silent = {"n0", "n1", "n2", "n3"}
     fleet.run(LEASE_DURATION + 2)
@@ -113,7 +113,7 @@
     assert fleet.states("n9") == [MemberState.READY]
 
 
-def test_a_late_report_of_an_older_incarnation_is_not_believed(fleet):
+def test_a_late_report_of_an_older_incarnation_is_ignored(fleet):
     fleet.run(5)
     fleet.incarnations["n1"] = "b"
     fleet.run(3)
@@ -124,7 +124,7 @@
     assert fleet.states("n1")[-1] == MemberState.REMOVED
 
 
-def test_a_member_that_flaps_is_suppressed_and_used_again_later(fleet):
+def test_a_flapping_member_is_suppressed_and_later_used_again(fleet):
     for number in range(5):
         fleet.run(4)
         fleet.incarnations["n1"] = f"s{number}"
@@ -137,13 +137,13 @@
     assert fleet.states("n1")[-1] == MemberState.READY
 
 
-def test_one_restart_suppresses_nobody(fleet):
+def test_one_restart_does_not_suppress_a_member(fleet):
     fleet.run(5).incarnations["n1"] = "b"
     fleet.run(5)
     assert MemberState.SUPPRESSED not in fleet.states("n1")
 
 
-def test_a_draining_node_is_drained_when_it_was_idle_for_a_while(fleet):
+def test_a_draining_node_is_drained_once_idle_for_the_settle_time(fleet):
     fleet.run(5).in_flight["n1"] = 3
     fleet.run(1)
     fleet.changes += fleet.members.drain(fleet.now, "n1")
@@ -151,7 +151,7 @@
     assert fleet.states("n1")[-1] == MemberState.DRAINING
     fleet.in_flight["n1"] = 0
     fleet.run(DRAIN_SETTLE_TIME - 1)
-    fleet.in_flight["n1"] = 1  # a late attempt: the time begins anew
+    fleet.in_flight["n1"] = 1  # a late attempt restarts the settle time
     fleet.run(1)
     fleet.in_flight["n1"] = 0
     fleet.run(DRAIN_SETTLE_TIME)
@@ -162,12 +162,12 @@
     assert fleet.states("n1")[-1] == MemberState.READY
 
 
-def test_nobody_unknown_can_be_drained(fleet):
+def test_an_unknown_member_cannot_be_drained(fleet):
     with pytest.raises(KeyError):
         fleet.members.drain(fleet.now, "nobody")
 
 
-def test_restored_members_get_a_whole_lease_and_stay_draining(fleet):
+def test_restored_members_get_a_full_lease_and_stay_draining(fleet):
     fleet.now = 100.0
     fleet.members = Membership(fleet.now)
     fleet.members.restore(
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_nobody_who_reports_within_its_lease_is_ever_removed(seed):
+def test_a_member_that_reports_within_its_lease_is_never_removed(seed):
     rng, members, now = random.Random(seed), Membership(0.0), 0.0
     last_report = {}
     for _ in range(3_000):
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: even, cheap, stable, within zones and budget; against an exact solver on small cases."""
+"""Placement plans are balanced, cheap, stable and within limits; small ones match an exact solver."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 def draw_fleet(seed, cells, nodes, zones=3, spread=0.6):
-    """Cells placed at random on nodes of unlike capacity."""
+    """Returns cells placed at random on nodes of different capacities."""
     rng = random.Random(seed)
     drawn_nodes = [
         Node(f"n{number}", rng.choice((1.0, 1.0, 2.0)), f"z{number % zones}") for number in range(nodes)
@@ -27,33 +27,33 @@
 
 
 def optimal_peak(cells, nodes, budget):
-    """The least that the fullest node can be with so many moves, by a solver."""
-    count, many = len(cells), len(nodes)
-    size = count * many + 1
-    goal = numpy.zeros(size)
-    goal[-1] = 1.0
-    rows, low, high = [], [], []
-    for place in range(count):
+    """Returns the lowest possible peak utilization within a budget, found by an exact solver."""
+    cell_count, node_count = len(cells), len(nodes)
+    size = cell_count * node_count + 1
+    objective = numpy.zeros(size)
+    objective[-1] = 1.0
+    rows, lower, upper = [], [], []
+    for cell_index in range(cell_count):
         row = numpy.zeros(size)
-        row[place * many : (place + 1) * many] = 1
-        rows.append(row), low.append(1), high.append(1)
+        row[cell_index * node_count : (cell_index + 1) * node_count] = 1
+        rows.append(row), lower.append(1), upper.append(1)
     for number, node in enumerate(nodes):
         row = numpy.zeros(size)
-        for place, cell in enumerate(cells):
-            row[place * many + number] = cell.weight / node.capacity
+        for cell_index, cell in enumerate(cells):
+            row[cell_index * node_count + number] = cell.weight / node.capacity
         row[-1] = -1
-        rows.append(row), low.append(-numpy.inf), high.append(0)
+        rows.append(row), lower.append(-numpy.inf), upper.append(0)
     row = numpy.zeros(size)
-    for place, cell in enumerate(cells):
+    for cell_index, cell in enumerate(cells):
         for number, node in enumerate(nodes):
-            row[place * many + number] = cell.size * (cell.node != node.name)
-    rows.append(row), low.append(0), high.append(budget)
-    kinds = numpy.ones(size)
-    kinds[-1] = 0
+            row[cell_index * node_count + number] = cell.size * (cell.node != node.name)
+    rows.append(row), lower.append(0), upper.append(budget)
+    integrality = numpy.ones(size)
+    integrality[-1] = 0
     solution = milp(
-        goal,
-        constraints=LinearConstraint(numpy.array(rows), low, high),
-        integrality=kinds,
+        objective,
+        constraints=LinearConstraint(numpy.array(rows), lower, upper),
+        integrality=integrality,
         bounds=Bounds(0, numpy.append(numpy.ones(size - 1), numpy.inf)),
         options={"time_limit": 10},
     )
@@ -64,22 +64,22 @@
 def test_the_peak_is_near_the_optimum_on_small_cases(seed):
     cells, nodes = draw_fleet(seed, 14, 4, zones=1)
     for budget in (2.0, 4.0, 14.0):
-        best, found = optimal_peak(cells, nodes, budget), plan_moves(cells, nodes, budget)
-        assert found.moved_size <= budget
-        assert best - 1e-6 <= found.peak_after <= max(best * 1.25, best + BALANCE_TOLERANCE * 3)
+        best, plan = optimal_peak(cells, nodes, budget), plan_moves(cells, nodes, budget)
+        assert plan.moved_size <= budget
+        assert best - 1e-6 <= plan.peak_after <= max(best * 1.25, best + BALANCE_TOLERANCE * 3)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_plan_states_the_peaks_that_its_moves_make(seed):
     cells, nodes = draw_fleet(seed, 200, 12)
-    found = plan_moves(cells, nodes)
-    after = after_moves(cells, found)
-    assert peak_utilization(after, nodes) == pytest.approx(found.peak_after) and peak_utilization(
+    plan = plan_moves(cells, nodes)
+    after = after_moves(cells, plan)
+    assert peak_utilization(after, nodes) == pytest.approx(plan.peak_after) and peak_utilization(
         cells, nodes
-    ) == pytest.approx(found.peak_before)
-    assert found.peak_after < found.peak_before and found.moved_size == len(found.moves)
-    even = sum(cell.weight for cell in cells) / sum(node.capacity for node in nodes)
-    assert found.peak_after <= even * 1.12
+    ) == pytest.approx(plan.peak_before)
+    assert plan.peak_after < plan.peak_before and plan.moved_size == len(plan.moves)
+    mean_utilization = sum(cell.weight for cell in cells) / sum(node.capacity for node in nodes)
+    assert plan.peak_after <= mean_utilization * 1.12
 
 
 def test_a_second_plan_moves_nothing_and_a_small_change_moves_little():
@@ -87,32 +87,33 @@
     after = after_moves(cells, plan_moves(cells, nodes))
     assert plan_moves(after, nodes).moves == ()
     rng = random.Random(1)
-    shaken = [cell._replace(weight=cell.weight * rng.uniform(0.97, 1.03)) for cell in after]
-    assert len(plan_moves(shaken, nodes).moves) <= 0.03 * len(cells)
+    perturbed = [cell._replace(weight=cell.weight * rng.uniform(0.97, 1.03)) for cell in after]
+    assert len(plan_moves(perturbed, nodes).moves) <= 0.03 * len(cells)
 
 
 def test_a_lost_node_moves_its_own_cells_and_few_others():
     cells, nodes = draw_fleet(4, 300, 15)
     after = after_moves(cells, plan_moves(cells, nodes))
-    lost, left = nodes[0].name, nodes[1:]
-    found = plan_moves(after, left)
-    own = {cell.name for cell in after if cell.node == lost}
-    assert own == {move.cell for move in found.moves if move.forced}
-    assert len(found.moves) <= 1.5 * len(own)
-    assert [move.forced for move in found.moves] == sorted(
-        (move.forced for move in found.moves), reverse=True
-    )
+    lost_node, remaining_nodes = nodes[0].name, nodes[1:]
+    plan = plan_moves(after, remaining_nodes)
+    lost_cells = {cell.name for cell in after if cell.node == lost_node}
+    assert lost_cells == {move.cell for move in plan.moves if move.forced}
+    assert len(plan.moves) <= 1.5 * len(lost_cells)
+    assert [move.forced for move in plan.moves] == sorted((move.forced for move in plan.moves), reverse=True)
 
 
-def test_zones_keep_their_shares():
+def test_zones_stay_within_their_shares():
     cells, nodes = draw_fleet(5, 240, 12, zones=3)
     crowded = [cell._replace(node="n0") for cell in cells]
     after = after_moves(crowded, plan_moves(crowded, nodes))
     zone = {node.name: node.zone for node in nodes}
-    whole, capacity = sum(cell.weight for cell in cells), sum(node.capacity for node in nodes)
+    total_weight, capacity = sum(cell.weight for cell in cells), sum(node.capacity for node in nodes)
     for name in ("z0", "z1", "z2"):
-        part = sum(node.capacity for node in nodes if node.zone == name) / capacity
-        assert sum(cell.weight for cell in after if zone[cell.node] == name) <= 1.15 * 1.1 * part * whole
+        capacity_share = sum(node.capacity for node in nodes if node.zone == name) / capacity
+        assert (
+            sum(cell.weight for cell in after if zone[cell.node] == name)
+            <= 1.15 * 1.1 * capacity_share * total_weight
+        )
 
 
 def test_a_budget_is_kept_and_no_nodes_are_an_error():
@@ -124,7 +125,7 @@
         plan_moves(cells, [])
 
 
-def test_it_moves_far_fewer_than_placing_anew():
+def test_a_plan_moves_far_less_than_placing_all_cells_anew():
     cells, nodes = draw_fleet(7, 400, 20)
     after = after_moves(cells, plan_moves(cells, nodes))
     grown = [*nodes, Node("new", 1.0, "z0")]
--- a/tests/fleet/test_policy.py
+++ b/tests/fleet/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy's rollout: a change takes hold everywhere or nowhere, whatever is lost, crashed or cut off."""
+"""Policy rollout: changes take effect everywhere or nowhere, despite message loss, crashes and partitions."""
 
 import json
 
@@ -38,7 +38,7 @@
     assert ended["decide"] > 3 * SEEDS and ended["end"] > SEEDS / 3 and ended["withdraw"] > SEEDS / 10
 
 
-# Within how many seeds each mutant is found: `benchmarks/policy.py`.
+# `benchmarks/policy.py` measures how many seeds it takes to find each mutant.
 @pytest.mark.parametrize(
     "mutant",
     [
@@ -62,11 +62,11 @@
     assert any(is_found(seed) for seed in range(SEEDS))
 
 
-# The replicated state.
+# PolicyStateMachine.
 
 
 def command(kind, limit=None, **fields):
-    """A command in its stored form; with a limit, that of a policy."""
+    """Returns a command in its stored form, with a policy that has this limit if given."""
     document = {}
     if limit is not None:
         document = {"rows": [["a", limit, 2 * limit]], "text": f"limit {limit}"}
@@ -81,7 +81,7 @@
 
 @pytest.fixture
 def machine():
-    """Three members under version 1, which has a limit of 100."""
+    """Three members under version 1 with a limit of 100."""
     return bootstrapped()
 
 
@@ -136,18 +136,18 @@
         machine.require_staged(4)
 
 
-# A member.
+# PolicyMember.
 
 
 def new_member(disk=(None, None), validate=lambda policy: None):
-    """A member, and what it persists."""
+    """Returns a member and the list of its persisted policies."""
     persisted = []
     member = PolicyMember("edge0", *disk, validate, lambda *policies: persisted.append(policies))
     return member, persisted
 
 
 def grant(member, now, machine, index):
-    """The answer to a request of now."""
+    """Returns the answer to a request made at `now`."""
     request = member.lease_request(now)
     return LeaseGrant(member.name, request.request_id, 1, index, machine.active, machine.staged)
 
@@ -156,7 +156,7 @@
     return Policy(version, "x", (("a", limit, limit),))
 
 
-def test_a_member_persists_both_before_it_is_joint_and_applies_the_lesser(machine):
+def test_a_member_persists_both_policies_before_it_is_joint_and_applies_the_lower_limits(machine):
     member, persisted = new_member()
     assert not member.is_serving() and member.effective_limits(0.0) == {}
     assert member.on_grant(0.1, grant(member, 0.0, machine, 1))
@@ -165,7 +165,7 @@
     assert member.on_grant(0.6, grant(member, 0.5, machine, 2)) and persisted[-1][1].version == 2
     assert member.lease_request(0.7).joint_version == 2 and member.active_version == 1
     assert member.effective_limits(0.7)["a"] == (40.0, 80.0)
-    restarted, _ = new_member(disk=persisted[-1])  # it crashed, and has nobody to ask
+    restarted, _ = new_member(disk=persisted[-1])  # after a crash, without a planner to ask
     assert restarted.is_degraded(0.0)
     assert restarted.effective_limits(0.0)["a"] == (40.0 * DEGRADED_FRACTION, 80.0 * DEGRADED_FRACTION)
     machine.apply(command("end", number=2, why="no"))
@@ -173,7 +173,7 @@
     assert member.effective_limits(1.1)["a"] == (100.0, 200.0)
 
 
-def test_a_lease_runs_from_the_request_and_late_or_older_grants_are_not_believed(machine):
+def test_a_lease_runs_from_the_request_and_late_or_older_grants_are_ignored(machine):
     member, _ = new_member()
     late = grant(member, 0.0, machine, 5)
     assert not member.on_grant(LEASE_DURATION, late)
@@ -207,7 +207,9 @@
     machine.apply(command("propose", 30.0))
     assert member.on_grant(1.1, grant(member, 1.0, machine, 4))
     assert member.lease_request(1.2)[3:] == (0, 3, "a lane is unknown")
-    machine.apply(command("decide", number=3, joint=[], why=""))  # it was absent for a lease, and is back
+    machine.apply(
+        command("decide", number=3, joint=[], why="")
+    )  # decided while the member's lease was expired
     assert not member.on_grant(1.6, grant(member, 1.5, machine, 5)) and not member.is_serving()
 
 
@@ -230,11 +232,11 @@
     assert member.on_grant(0.2, grant(member, 0.1, machine, 3)) and member.is_serving()
 
 
-# The coordinator.
+# RolloutCoordinator.
 
 
 def request_lease(coordinator, now, member, **fields):
-    """A request that is answered at once; the grants."""
+    """Sends a lease request in a confirmed round; returns the grants."""
     request = LeaseRequest(
         **{"member": member, "request_id": 1, "active_version": 1, "joint_version": 0, **fields}
     )
@@ -243,7 +245,7 @@
 
 
 def join(coordinator, now, members=PRESENT):
-    """Members report that they are joint on version 2."""
+    """Members report that they have persisted the staged version 2."""
     for member in members:
         request_lease(coordinator, now, member, joint_version=2)
 
@@ -253,7 +255,7 @@
     coordinator = RolloutCoordinator(machine, 100.0)
     join(coordinator, 100.1)
     assert coordinator.next_command(100.2) is None
-    # The leader before may have granted the third a lease.
+    # The previous leader may have granted a lease to the absent member.
     assert coordinator.next_command(100.0 + LEASE_DURATION) is None
     request_lease(coordinator, 105.0, ABSENT)
     assert coordinator.next_command(105.0 + LEASE_DURATION) is None
@@ -279,7 +281,7 @@
     machine.apply(command("propose", 20.0))
     coordinator = RolloutCoordinator(machine, 0.0)
     join(coordinator, 11.0)
-    assert coordinator.next_command(11.0) is None  # 25 of 100 with the absent one, over the 20 of all
+    assert coordinator.next_command(11.0) is None  # the absent member could use 25, above the new limit of 20
     timeout = 11.0 + STAGE_TIMEOUT
     assert coordinator.next_command(timeout - 0.1) is None
     abort = coordinator.next_command(timeout)
@@ -288,7 +290,7 @@
     assert machine.apply(command("forget", member="edge9")).startswith("refused")
     assert machine.apply(command("forget", member=ABSENT)) == "edge2 is no longer waited for"
     join(coordinator, timeout)
-    assert coordinator.next_command(timeout)["kind"] == "decide"  # an operator said that it does not run
+    assert coordinator.next_command(timeout)["kind"] == "decide"  # an operator declared it stopped
     assert PolicyStateMachine.from_snapshot(machine.to_snapshot()).forgotten == {ABSENT: True}
 
 
@@ -304,12 +306,12 @@
     assert abort["kind"] == "end" and abort["why"] == f"without answer in {STAGE_TIMEOUT:g} s: edge2"
 
 
-def test_a_joint_member_that_is_silent_since_may_come_back_on_an_older_disk(machine):
+def test_a_joint_member_that_went_silent_may_return_with_an_older_disk(machine):
     machine.apply(command("propose", 20.0))
     coordinator = RolloutCoordinator(machine, 0.0)
     join(coordinator, 11.0, [ABSENT])
     join(coordinator, 25.0)
-    # 25 of 100, by a disk of before it was joint, over the 20 of all.
+    # With a disk from before it was joint, the absent member could use 25, above the new limit of 20.
     assert coordinator.next_command(25.0) is None
     join(coordinator, 26.0, [ABSENT])
     assert coordinator.next_command(26.0)["joint"] == MEMBERS
--- a/tests/fleet/test_policy_model_checker.py
+++ b/tests/fleet/test_policy_model_checker.py
@@ -1,4 +1,4 @@
-"""All orders of a few events, on the very parts that run; `benchmarks/policy.py states` goes further."""
+"""Explores all orders of a few events on the real classes; `benchmarks/policy.py states` goes deeper."""
 
 import pytest
 
--- a/tests/fleet/test_quotas.py
+++ b/tests/fleet/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas exceed no limit, whatever happens to messages, edges and planners; and they follow the demand."""
+"""Quotas never exceed a limit despite faults of messages, edges and planners, and they follow the demand."""
 
 import random
 
@@ -14,12 +14,12 @@
 )
 
 FOLDERS = ("a", "b")
-LONG_AGO = -100.0  # seconds: no lease of an earlier planner is left
+LONG_AGO = -100.0  # seconds; all leases of an earlier planner have expired since
 SEEDS = range(12)
 
 
 class Simulation:
-    """Edges and planners on one true time; each edge's clock has its own rate; messages are unreliable."""
+    """Edges with clocks of different rates, and planners; messages are lost, late and repeated."""
 
     def __init__(self, seed, edges=5, loss=0.2, longest_delay=6.0):
         self.random = random.Random(seed)
@@ -81,7 +81,7 @@
 
 
 def exchange(allocator, edge, now, demand):
-    """An edge's request for folder `a`; the grant, which it has not received."""
+    """Sends an edge's request for folder `a`; returns the grant without delivering it."""
     request_id, applied = edge.request(now)
     return allocator.on_quota_request(now, edge.edge, request_id, {"a": demand}, applied)
 
@@ -96,25 +96,25 @@
             pause = simulation.random.uniform(1, 3 * LEASE_DURATION)
             simulation.paused_until[name] = simulation.now + pause
     assert simulation.peak <= 1 + 1e-9
-    assert simulation.peak > 0.9  # and the limit is used
+    assert simulation.peak > 0.9  # the limit is nearly used up
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_limit_is_exceeded_by_a_planner_that_forgot_everything(seed):
+def test_no_limit_is_exceeded_by_a_new_planner_without_state(seed):
     simulation = Simulation(seed)
     for step in range(2_000):
         simulation.step()
         if step in (500, 1_200):
-            # A new one with the next term begins when the old one's leadership is over; what that one had
-            # granted is still in flight, and in use by the edges.
+            # A new planner starts in the next term after the old one's leadership has ended, while the old
+            # grants are still in flight or in use.
             term = simulation.planners[0].term + 1
             allocator = QuotaAllocator(term, FOLDERS, len(simulation.edges), simulation.now)
             simulation.planners = [allocator]
     assert 0.9 < simulation.peak <= 1 + 1e-9
 
 
-def test_two_planners_that_grant_at_once_would_exceed_the_limit():
-    # What the test above rests on: without an end of the old one's leadership the invariant breaks.
+def test_two_planners_that_grant_concurrently_exceed_the_limit():
+    # Shows that the test above can fail: the invariant requires that the old leadership has ended.
     broken = 0
     for seed in SEEDS:
         simulation = Simulation(seed)
@@ -127,14 +127,14 @@
     assert broken
 
 
-def test_what_was_lowered_is_free_only_when_the_edge_confirms_it():
+def test_a_lowered_share_is_released_only_when_the_edge_confirms_it():
     allocator = QuotaAllocator(1, ["a"], 2, LONG_AGO)
     one, two = EdgeQuotas("one", 2), EdgeQuotas("two", 2)
     for now in range(6):
         one.on_grant(now, exchange(allocator, one, now, 1.0))
     assert one.quota(5, "a") > 0.8
     two.on_grant(6, exchange(allocator, two, 6, 1.0))
-    lost = exchange(allocator, one, 6, 0.0)  # lowered, and the grant is lost
+    lost = exchange(allocator, one, 6, 0.0)  # lowers the quota, but is lost
     for now in range(7, 10):
         two.on_grant(now, exchange(allocator, two, now, 1.0))
     assert one.quota(9, "a") + two.quota(9, "a") <= 1 + 1e-9 and two.quota(9, "a") < 0.3
@@ -145,7 +145,7 @@
     assert two.quota(15, "a") > 0.6 and one.quota(15, "a") + two.quota(15, "a") <= 1 + 1e-9
 
 
-def test_an_edge_that_was_paused_wakes_at_its_safe_quota():
+def test_an_edge_has_its_safe_quota_after_a_long_pause():
     allocator, edge = QuotaAllocator(1, ["a"], 4, LONG_AGO), EdgeQuotas("e", 4)
     for now in range(5):
         edge.on_grant(now, exchange(allocator, edge, now, 1.0))
@@ -153,7 +153,7 @@
     assert edge.quota(4 + LEASE_DURATION, "a") == SAFE_FRACTION / 4
 
 
-def test_a_grant_of_an_older_term_or_of_no_known_request_is_not_believed():
+def test_a_grant_of_an_older_term_or_for_an_unknown_request_is_ignored():
     old, new = QuotaAllocator(1, ["a"], 2, LONG_AGO), QuotaAllocator(2, ["a"], 2, LONG_AGO)
     edge = EdgeQuotas("e", 2)
     request_id, applied = edge.request(0)
@@ -165,7 +165,7 @@
     assert not edge.on_grant(LEASE_DURATION, late._replace(term=9, sequence=9))
 
 
-def test_more_edges_than_there_may_be_get_no_quota_at_all():
+def test_edges_beyond_the_maximum_get_no_quota():
     allocator = QuotaAllocator(1, ["a"], 2, LONG_AGO)
     for name in ("one", "two"):
         allocator.on_quota_request(0, name, 1, {"a": 1.0})
--- a/tests/fleet/test_raft.py
+++ b/tests/fleet/test_raft.py
@@ -1,4 +1,4 @@
-"""Raft: what is committed is never undone, whatever is lost, repeated, late, cut off or crashed."""
+"""Raft keeps committed entries despite lost, repeated and late messages, partitions and crashes."""
 
 from typing import NamedTuple
 
@@ -10,10 +10,10 @@
 
 SEEDS = 150
 MEMBERS = ("a", "b", "c")
-DUE = 105.0  # seconds: an election timeout after the start of `node`
+DUE = 105.0  # seconds; later than the election timeout of `node`
 
 
-def test_random_faults_undo_nothing_and_the_log_goes_on_when_they_end():
+def test_random_faults_undo_no_committed_entry_and_the_log_advances_when_they_end():
     highest_index, with_changes, with_snapshots = 0, 0, 0
     for seed in range(SEEDS):
         simulation = RaftSimulation(seed, members=3 + seed % 3).run(until=26.0, heal_at=18.0)
@@ -29,22 +29,22 @@
     def is_found(seed):
         try:
             RaftSimulation(seed, members=3 + seed % 3, node_class=mutant).run(until=18.0)
-        except AssertionError:  # the checker's, or the log's own on committed entries
+        except AssertionError:  # from the checker or from `RaftLog.truncate`
             return True
         return False
 
     assert any(is_found(seed) for seed in range(SEEDS))
 
 
-# What the simulation seldom reaches, step by step.
+# Single steps that the simulation seldom reaches.
 
 
 class Work(NamedTuple):
-    """All that a node handed out until nothing was left."""
+    """Messages and committed entries from all pending `Ready` batches of a node."""
 
     messages: list
     committed: list
-    """Indexes."""
+    """Indexes of the entries."""
 
 
 def node(member_id="a", *, term=0, voted_for=None, entries=()):
@@ -53,7 +53,7 @@
 
 
 def process(member, now=100.0):
-    """Does all that a node hands out, as if every write succeeded."""
+    """Processes all pending `Ready` batches, as if every write succeeded."""
     work = Work([], [])
     while (ready := member.ready()) is not None:
         work.messages.extend(ready.messages)
@@ -63,7 +63,7 @@
 
 
 def elected(entries=(), term=3):
-    """`a` leads in the term after `term`, with what it had in its log."""
+    """Returns `a` as the leader of the term after `term`, with `entries` already in its log."""
     member = node(term=term, entries=entries)
     member.tick(DUE)
     process(member)
@@ -76,12 +76,12 @@
 
 @pytest.fixture
 def leader():
-    """`a` leads in term 4, and nothing is committed."""
+    """`a` as the leader of term 4, with nothing committed."""
     return elected()
 
 
 def acknowledge(member, now, match_index, sender="b"):
-    """A follower's disk has the log up to an index."""
+    """Delivers a follower's acknowledgement up to an index."""
     member.receive(now, raft.AppendEntriesResponse(sender, "a", 4, True, match_index))
 
 
@@ -100,7 +100,7 @@
 def test_entries_of_older_terms_are_committed_only_with_one_of_the_leaders_own():
     leader = elected([raft.Entry(2, raft.EntryKind.COMMAND, b"x")])
     acknowledge(leader, 105.1, match_index=1)
-    assert process(leader).committed == []  # a majority has it, and it may still be overwritten
+    assert process(leader).committed == []  # a majority has it, but it could still be overwritten
     acknowledge(leader, 105.2, match_index=2)
     assert process(leader).committed == [1, 2]
 
@@ -116,10 +116,10 @@
     leader.change_members(105.1, ["a", "b"])
     with pytest.raises(raft.MembershipChangeError, match="previous membership change is not committed"):
         leader.change_members(105.1, ["a"])
-    assert leader.members == ("a", "b")  # it is in effect from when it is appended
+    assert leader.members == ("a", "b")  # in effect as soon as appended
 
 
-def test_a_member_that_was_cut_off_raises_no_term_and_deposes_nobody():
+def test_a_partitioned_member_neither_raises_the_term_nor_deposes_the_leader():
     cut_off = node()
     for tenth in range(200):
         cut_off.tick(101.0 + tenth / 10)
@@ -132,7 +132,7 @@
     assert not any(getattr(message, "granted", False) for message in process(follower).messages)
 
 
-def test_a_leader_that_hears_no_majority_steps_down_and_says_so(leader):
+def test_a_leader_that_hears_no_majority_steps_down_and_rejects_proposals(leader):
     leader.tick(105.9)
     assert leader.role == raft.Role.LEADER
     leader.tick(106.1)
