--- a/rushmux/fleet/errors.py
+++ b/rushmux/fleet/errors.py
@@ -10,7 +10,7 @@
 
 
 class NotLeaderError(ProposalRejectedError):
-    """A proposal was made to a member that is not the leader; `leader` is the leader it knows of, if any."""
+    """The member is not the leader; `leader` is the one it knows, if any."""
 
     def __init__(self, leader: str | None):
         super().__init__(f"{leader or 'no member that is known here'} leads")
@@ -170,7 +170,7 @@
 
 
 class MembershipFullError(FleetError):
-    """`member` was rejected because the maximum number of members, `limit`, is reached."""
+    """`member` was rejected; the maximum number of members is reached."""
 
     def __init__(self, member: str, limit: int):
         super().__init__(f"cannot add member {member}: the limit of {limit} members is reached")
--- a/rushmux/fleet/placement/assignment.py
+++ b/rushmux/fleet/placement/assignment.py
@@ -5,11 +5,11 @@
 from rushmux.fleet.placement.records import Cell, Node
 
 BALANCE_TOLERANCE = 0.05  # a node is relieved only if it is this fraction above the mean utilization
-ZONE_OVERCOMMIT = 1.15  # maximum load of a zone as a multiple of its share by capacity
+ZONE_OVERCOMMIT = 1.15  # maximum zone load relative to its share by capacity
 
 
 def peak_utilization(cells: Sequence[Cell], nodes: Sequence[Node]) -> float:
-    """Returns the highest utilization (load over capacity) of any node."""
+    """Returns the highest utilization (load over capacity) of the nodes."""
     loads = {node.name: 0.0 for node in nodes}
     for cell in cells:
         if cell.node in loads:
@@ -23,7 +23,7 @@
     Args:
         cells: All cells with their current nodes.
         nodes: The nodes that may hold cells; at least one.
-        zone_overcommit: Maximum load of a zone as a multiple of its share by capacity, at least 1.
+        zone_overcommit: Maximum zone load relative to its share by capacity, at least 1.
     """
 
     def __init__(self, cells: Sequence[Cell], nodes: Sequence[Node], zone_overcommit: float):
@@ -70,7 +70,7 @@
         return self.load[node] / self.nodes[node].capacity
 
     def peak_utilization(self) -> float:
-        """Returns the highest utilization of any node."""
+        """Returns the highest utilization of the nodes."""
         return max(self.utilization(name) for name in self.nodes)
 
     def fits_zone(self, weight: float, node: str, source: str | None = None) -> bool:
@@ -83,8 +83,7 @@
     def move_cost(self, cell: Cell, target: str) -> float:
         """Returns how much a move changes the total moved size.
 
-        It is zero for a cell without an origin or one that is already away from it, and negative for a move
-        back to the origin.
+        Zero for cells without an origin or already away from it; negative for a move back to it.
         """
         origin = self.origin[cell.name]
         if origin is None:
--- a/rushmux/fleet/placement/plan.py
+++ b/rushmux/fleet/placement/plan.py
@@ -21,7 +21,7 @@
         cells: All cells with their current nodes.
         nodes: The nodes that may hold cells.
         budget: Maximum total size of moves for balance.
-        zone_overcommit: Maximum load of a zone as a multiple of its share by capacity, at least 1.
+        zone_overcommit: Maximum zone load relative to its share by capacity, at least 1.
 
     Raises:
         NoNodesError: There are no nodes; a ValueError.
@@ -38,7 +38,7 @@
 
 
 def greedy_plan(cells: Sequence[Cell], nodes: Sequence[Node]) -> PlacementPlan:
-    """Plans anew for all cells as a baseline: the heaviest cell first, each on the least utilized node."""
+    """Baseline that places all cells anew, heaviest first, each on the least utilized node."""
     loads = [(0.0, node.name) for node in nodes]
     capacity = {node.name: node.capacity for node in nodes}
     heapify(loads)
--- a/rushmux/fleet/placement/rebalancing.py
+++ b/rushmux/fleet/placement/rebalancing.py
@@ -9,7 +9,7 @@
 MIN_GAIN = 0.02  # of the mean utilization; a smaller gain is not worth copying the data
 MAX_SWAP_CANDIDATES = 40  # heaviest cells of the source and lightest cells of the target that are tried
 MAX_TARGETS = 8  # least utilized nodes that are tried as targets
-MAX_STEPS = 20_000  # a few for each cell
+MAX_STEPS = 20_000  # a few per cell
 EPSILON = 1e-9
 
 
@@ -50,7 +50,7 @@
 
 
 def _best_option(assignment: Assignment, source: str, ranked: Sequence[str], budget: float) -> _Option | None:
-    """Returns the best option that relieves `source` within the budget; None if none gains enough."""
+    """Returns the best option within the budget, or None if none gains enough."""
     best, best_rank = None, None
     min_gain = MIN_GAIN * assignment.mean_utilization
     cells = sorted(assignment.cells_on[source].values(), key=heaviest_first)[:MAX_SWAP_CANDIDATES]
@@ -93,7 +93,7 @@
 
 
 def _peak_after(assignment: Assignment, source: str, target: str, weight: float) -> float:
-    """Returns the higher utilization of two nodes after `weight` moves from one to the other."""
+    """Returns the higher utilization of both nodes after moving `weight`."""
     return max(
         assignment.utilization(source) - weight / assignment.nodes[source].capacity,
         assignment.utilization(target) + weight / assignment.nodes[target].capacity,
--- a/rushmux/fleet/policy/coordinator.py
+++ b/rushmux/fleet/policy/coordinator.py
@@ -53,7 +53,7 @@
         """
         machine = self.state_machine
         if request.member in machine.forgotten:
-            # Decisions do not wait for the leases of forgotten members, so it must be reinstated first.
+            # Decisions ignore the leases of forgotten members, so it must be reinstated first.
             self.returning_members[request.member] = True
         elif request.member in machine.member_versions and len(self.pending_requests) < MAX_PENDING_REQUESTS:
             self.pending_requests.append((round_, request))
@@ -167,7 +167,7 @@
 
 
 def _planner_lease_end(now: float) -> float:
-    """Returns when a lease granted now has surely expired at the member, allowing for clock drift."""
+    """Returns when a lease granted now has expired at the member despite clock drift."""
     return now + LEASE_DURATION * (1 + MAX_CLOCK_DRIFT)
 
 
--- a/rushmux/fleet/quotas.py
+++ b/rushmux/fleet/quotas.py
@@ -16,9 +16,9 @@
 
 LEASE_DURATION = 10.0  # seconds from the edge's request until its grant expires
 MAX_CLOCK_DRIFT = 0.01  # maximum relative difference between the rates of two clocks
-SAFE_FRACTION = 0.25  # of a limit, split evenly into the quotas of edges without a lease
+SAFE_FRACTION = 0.25  # of a limit, split evenly into safe quotas
 HYSTERESIS = 0.1  # of a quota; sending smaller changes would update hundreds of edges each second
-MIN_DEMAND = 0.02  # minimum demand assumed for each edge, which leaves room for a first burst
+MIN_DEMAND = 0.02  # assumed for each edge, as room for a first burst
 DEMAND_SMOOTHING = 0.5  # weight of the newest demand in the moving average
 EPSILON = 1e-9
 MAX_REQUESTS_IN_FLIGHT = 16  # older requests are considered lost
@@ -32,7 +32,7 @@
 
 
 class QuotaRequest(NamedTuple):
-    """A request's number and the grant that the edge currently applies; sent along with the demands."""
+    """A request's number and the grant that the edge applies; sent along with its demands."""
 
     request_id: int
     applied: GrantId
@@ -87,10 +87,9 @@
         """Reservations by folder and edge."""
         self.lease_expiry: dict[str, float] = {}
         self.last_sequence = 0
-        self.pending_grants: dict[str, QuotaGrant] = {}
+        self.latest_grants: dict[str, QuotaGrant] = {}
         """The latest grant of each edge."""
-        # A new planner does not know which quotas its predecessor granted, so it grants no more than the safe
-        # quotas until all leases of older terms have expired.
+        # The predecessor's grants are unknown, so only safe quotas are granted until all its leases expired.
         self.predecessor_leases_end = _planner_lease_end(now)
 
     def on_quota_request(
@@ -122,7 +121,7 @@
                 quotas[folder] = self._quota(now, folder, edge)
         self.last_sequence += 1
         grant = QuotaGrant(edge, self.term, self.last_sequence, request_id, quotas)
-        self.pending_grants[edge] = grant
+        self.latest_grants[edge] = grant
         for folder, quota in quotas.items():
             reservation = self.reservations[folder][edge]
             reservation.reserved = max(reservation.reserved, quota)
@@ -136,8 +135,8 @@
         return reserved + self.safe_quota * (self.max_edges - len(reservations))
 
     def _release_lowered(self, edge: str, applied: GrantId | None) -> None:
-        """Releases the shares that the latest grant lowered, once the edge confirms that it applies it."""
-        last_grant = self.pending_grants.get(edge)
+        """Releases what the latest grant lowered, once the edge confirms that grant."""
+        last_grant = self.latest_grants.get(edge)
         if last_grant is None or applied != last_grant.grant_id:
             return
         for folder, quota in last_grant.quotas.items():
@@ -165,11 +164,11 @@
         return max(self.safe_quota, min(target, self.safe_quota + max(0.0, spare - taken)))
 
     def _expire_leases(self, now: float) -> None:
-        """Drops the reservations of edges whose leases have expired; they use their safe quotas."""
+        """Drops the reservations of edges with expired leases, which use their safe quotas."""
         expired = [edge for edge, expiry in self.lease_expiry.items() if expiry <= now]
         for edge in expired:
             del self.lease_expiry[edge]
-            self.pending_grants.pop(edge, None)
+            self.latest_grants.pop(edge, None)
             for reservations in self.reservations.values():
                 reservations.pop(edge, None)
 
@@ -222,5 +221,5 @@
 
 
 def _planner_lease_end(now: float) -> float:
-    """Returns when a lease granted now has surely expired at the edge, allowing for clock drift."""
+    """Returns when a lease granted now has expired at the edge despite clock drift."""
     return now + LEASE_DURATION * (1 + MAX_CLOCK_DRIFT)
--- a/rushmux/fleet/raft/log.py
+++ b/rushmux/fleet/raft/log.py
@@ -33,12 +33,12 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, or of the snapshot if no entry follows it."""
+        """Index of the last entry, or of the snapshot if there is none."""
         return self.snapshot.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry, or of the snapshot if no entry follows it."""
+        """Term of the last entry, or of the snapshot if there is none."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def entry(self, index: int) -> Entry:
@@ -51,7 +51,7 @@
         return tuple(self.entries[offset : offset + limit])
 
     def term_at(self, index: int) -> int | None:
-        """Returns the term of the entry at an index, or None if the log does not hold that entry."""
+        """Returns the term of the entry at an index, or None if it is not in the log."""
         if index == self.snapshot.index:
             return self.snapshot.term
         offset = index - self.snapshot.index - 1
@@ -157,7 +157,7 @@
         self.last_applied = self.commit_index
 
     def on_persisted(self, entries: Sequence[tuple[int, Entry]]) -> None:
-        """Records that these entries are on disk, ignoring any that were truncated in the meantime."""
+        """Records that these entries are on disk, unless truncated since."""
         if not entries:
             return
         index, entry = entries[-1]
--- a/rushmux/fleet/raft/node.py
+++ b/rushmux/fleet/raft/node.py
@@ -101,7 +101,7 @@
         return self._append_own(now, EntryKind.COMMAND, body)
 
     def add_learner(self, now: float, name: str) -> None:
-        """Replicates the log to a non-member, so that it is caught up before it becomes a member.
+        """Replicates the log to a non-member, so that it catches up before it joins.
 
         Raises:
             NotLeaderError: This member does not lead.
@@ -200,7 +200,7 @@
     # Replication on a follower.
 
     def on_append_entries(self, now: float, request: AppendEntries) -> None:
-        """Appends a leader's entries if the logs match before them, and responds with the matching index."""
+        """Appends a leader's entries if the logs match before them, and responds."""
         prev_index, entries = request.prev_log_index, request.entries
         snapshot_index = self.log.snapshot.index
         if prev_index < snapshot_index:  # a delayed message; the snapshot's entries are committed
--- a/tests/fleet/test_policy.py
+++ b/tests/fleet/test_policy.py
@@ -38,7 +38,7 @@
     assert ended["decide"] > 3 * SEEDS and ended["end"] > SEEDS / 3 and ended["withdraw"] > SEEDS / 10
 
 
-# `benchmarks/policy.py` measures how many seeds it takes to find each mutant.
+# See `benchmarks/policy.py` for the number of seeds that find each mutant.
 @pytest.mark.parametrize(
     "mutant",
     [
@@ -66,7 +66,7 @@
 
 
 def command(kind, limit=None, **fields):
-    """Returns a command in its stored form, with a policy that has this limit if given."""
+    """Returns a command in its stored form, with a policy of this limit if given."""
     document = {}
     if limit is not None:
         document = {"rows": [["a", limit, 2 * limit]], "text": f"limit {limit}"}
@@ -147,7 +147,7 @@
 
 
 def grant(member, now, machine, index):
-    """Returns the answer to a request made at `now`."""
+    """Returns the grant for a request made now."""
     request = member.lease_request(now)
     return LeaseGrant(member.name, request.request_id, 1, index, machine.active, machine.staged)
 
@@ -311,7 +311,7 @@
     coordinator = RolloutCoordinator(machine, 0.0)
     join(coordinator, 11.0, [ABSENT])
     join(coordinator, 25.0)
-    # With a disk from before it was joint, the absent member could use 25, above the new limit of 20.
+    # With its older disk the absent member could use 25, above the new limit of 20.
     assert coordinator.next_command(25.0) is None
     join(coordinator, 26.0, [ABSENT])
     assert coordinator.next_command(26.0)["joint"] == MEMBERS
--- a/tests/fleet/test_raft.py
+++ b/tests/fleet/test_raft.py
@@ -39,8 +39,8 @@
 # Single steps that the simulation seldom reaches.
 
 
-class Work(NamedTuple):
-    """Messages and committed entries from all pending `Ready` batches of a node."""
+class Output(NamedTuple):
+    """Combined output of a node's pending `Ready` batches."""
 
     messages: list
     committed: list
@@ -54,16 +54,16 @@
 
 def process(member, now=100.0):
     """Processes all pending `Ready` batches, as if every write succeeded."""
-    work = Work([], [])
+    output = Output([], [])
     while (ready := member.ready()) is not None:
-        work.messages.extend(ready.messages)
-        work.committed.extend(index for index, _ in ready.committed)
+        output.messages.extend(ready.messages)
+        output.committed.extend(index for index, _ in ready.committed)
         member.on_persisted(now, ready)
-    return work
+    return output
 
 
 def elected(entries=(), term=3):
-    """Returns `a` as the leader of the term after `term`, with `entries` already in its log."""
+    """Returns `a` as the leader of the term after `term`, with a log of `entries`."""
     member = node(term=term, entries=entries)
     member.tick(DUE)
     process(member)
