--- a/rushmux/planner/__init__.py
+++ b/rushmux/planner/__init__.py
@@ -1,6 +1,6 @@
-"""The control-plane program: membership, endpoint lists, quotas and the replicated policy of a fleet.
+"""The control plane: membership, endpoint lists, quotas and the replicated policy of a fleet.
 
-`planner.Planner` is the server that nodes, edges, other planners and operators connect to.  The decisions
-are those of `rushmux.fleet`; this package adds the clock, the network and the disk.  `admin_client` is the
-operators' side of the connection.
+`planner.Planner` is the server that nodes, edges, other planners and operators connect to.  `rushmux.fleet`
+makes the decisions; this package adds the clock, the network and the disk.  `admin_client` is the operators'
+client.
 """
--- a/rushmux/planner/admin_client.py
+++ b/rushmux/planner/admin_client.py
@@ -1,4 +1,4 @@
-"""The client of a planner's admin commands: one connection, one command, one answer."""
+"""Client for a planner's admin commands: one connection, one command, one answer."""
 
 import asyncio
 from collections.abc import Sequence
@@ -9,10 +9,10 @@
 from rushmux.planner import peer_names
 from rushmux.planner.errors import CommandRejectedError, PlannerUnavailableError
 
-ANSWER_TIMEOUT = 10.0  # seconds; a planner gives up on a proposal sooner (`proposals.PROPOSAL_TIMEOUT`)
-MAX_ROUNDS = 4  # attempts over all planners: a new leader is elected within some three seconds
-ROUND_PAUSE = 1.0  # seconds between two rounds
-READ_SIZE = 1 << 16  # bytes asked of the socket at once
+ANSWER_TIMEOUT = 10.0  # seconds; longer than a planner's `proposals.PROPOSAL_TIMEOUT`
+MAX_ROUNDS = 4  # of attempts at all planners; electing a new leader takes about three seconds
+ROUND_PAUSE = 1.0  # seconds between rounds
+READ_SIZE = 1 << 16  # bytes per read from a socket
 
 Address = tuple[str, int]
 
@@ -20,18 +20,18 @@
 async def send_fleet_command(
     addresses: Address | Sequence[Address], verb: str, member: str = ""
 ) -> messages.Ordered:
-    """Sends a command on the fleet's members.
+    """Sends a command about the fleet's members.
 
     Args:
-        addresses: one planner, or all of them: the one that leads answers.
+        addresses: one planner, or all of them; the leader answers.
         verb: a `commands.FleetVerb`.
-        member: the node that the command is about.
+        member: the node that the command applies to.
 
     Returns:
         The members after the command.
 
     Raises:
-        CommandRejectedError: it was refused, or no planner could be reached.
+        CommandRejectedError: the command was refused, or no planner could be reached.
     """
     request = messages.Message(order=messages.Order(verb=verb, member=member))
     return await _request(addresses, request, "ordered")
@@ -40,26 +40,26 @@
 async def send_policy_command(
     addresses: Address | Sequence[Address], verb: str, **fields
 ) -> messages.PolicyAnswer:
-    """Sends a command on the fleet's policy.
+    """Sends a command about the fleet's policy.
 
     Args:
-        addresses: one planner, or all of them: the one that leads answers.
+        addresses: one planner, or all of them; the leader answers.
         verb: a `commands.PolicyVerb`.
-        **fields: the command's fields.  `client` and `n` are its idempotency key: a command that is sent
-            again with the same key is applied once.
+        **fields: the command's fields.  `client` and `n` are its idempotency key: a command sent again with
+            the same key is applied once.
 
     Returns:
-        What came of the command, and the policy's state.
+        The command's result, and the policy's state.
 
     Raises:
-        CommandRejectedError: it was refused, or no planner could be reached.
+        CommandRejectedError: the command was refused, or no planner could be reached.
     """
     request = messages.Message(policy_order=messages.PolicyOrder(verb=verb, order=orjson.dumps(fields)))
     return await _request(addresses, request, "policy_answer")
 
 
 async def _request(addresses: Address | Sequence[Address], request: messages.Message, answer_kind: str):
-    """Returns the answer of the planner that leads, among one or several."""
+    """Returns the answer of the leader among one or several planners."""
     if isinstance(addresses[0], str):
         return await _request_one(addresses, request, answer_kind)
     if len(addresses) == 1:
@@ -72,19 +72,19 @@
         for address in addresses:
             try:
                 return await _exchange(address, request, answer_kind)
-            except PlannerUnavailableError as fault:
-                failures.append(f"{address[0]}:{address[1]}: {fault}")
-            # Any other rejection is final: another planner must not be asked as if it were undecided.
+            except PlannerUnavailableError as error:
+                failures.append(f"{address[0]}:{address[1]}: {error}")
+            # Any other rejection is final, so no other planner is asked.
     raise PlannerUnavailableError("; ".join(failures))
 
 
 async def _request_one(address: Address, request: messages.Message, answer_kind: str):
-    """Returns the answer of a single planner; there is no other to send the command to."""
+    """Returns the answer of a fleet's only planner."""
     try:
         return await _exchange(address, request, answer_kind)
-    except PlannerUnavailableError as fault:
-        await asyncio.sleep(ROUND_PAUSE)  # slows down a caller that sends it again at once
-        raise CommandRejectedError(fault.reason) from fault
+    except PlannerUnavailableError as error:
+        await asyncio.sleep(ROUND_PAUSE)  # slows down callers that retry immediately
+        raise CommandRejectedError(error.reason) from error
 
 
 async def _exchange(address: Address, request: messages.Message, answer_kind: str):
@@ -96,17 +96,17 @@
             hello = messages.Hello(version=VERSION, peer=peer_names.OPERATOR, start="0")
             writer.write(frame(messages.Message(hello=hello)) + frame(request))
             return await _read_answer(reader, answer_kind)
-    except TimeoutError as fault:
-        raise PlannerUnavailableError(f"no answer within {ANSWER_TIMEOUT:g} s") from fault
-    except (OSError, WireError) as fault:
-        raise PlannerUnavailableError(str(fault)) from fault
+    except TimeoutError as error:
+        raise PlannerUnavailableError(f"no answer within {ANSWER_TIMEOUT:g} s") from error
+    except (OSError, WireError) as error:
+        raise PlannerUnavailableError(str(error)) from error
     finally:
         if writer is not None:
             writer.close()
 
 
 async def _read_answer(reader: asyncio.StreamReader, answer_kind: str):
-    """Reads up to the answer, and raises what it says was wrong."""
+    """Returns the answer, or raises the error that it reports."""
     frames = FrameReader()
     while data := await reader.read(READ_SIZE):
         for message in frames.feed(data):
--- a/rushmux/planner/commands.py
+++ b/rushmux/planner/commands.py
@@ -1,10 +1,10 @@
-"""Names of the commands that operators send to a planner; the values are those of the wire."""
+"""Names of the operators' commands, as sent on the wire."""
 
 from enum import StrEnum
 
 
 class FleetVerb(StrEnum):
-    """Commands on the fleet's members."""
+    """Commands about the fleet's members."""
 
     SHOW = "show"
     DRAIN = "drain"
@@ -12,7 +12,7 @@
 
 
 class PolicyVerb(StrEnum):
-    """Commands on the fleet's policy."""
+    """Commands about the fleet's policy."""
 
     SHOW = "show"
     PROPOSE = "propose"
--- a/rushmux/planner/endpoint_publisher.py
+++ b/rushmux/planner/endpoint_publisher.py
@@ -1,7 +1,6 @@
-"""The endpoint list: stores each change of it, then notifies the edges.
+"""Stores each change of the endpoint list, then notifies the edges of it.
 
-A change is on the disk before an edge is notified of it.  Where the disk takes nothing, edges are notified
-all the same, the failure is logged, and the change is stored later.
+If a change cannot be stored, the failure is logged, edges are notified nevertheless, and it is stored later.
 """
 
 import asyncio
@@ -16,15 +15,15 @@
 from rushmux.planner.server import PeerConnection
 from rushmux.scheduling.driver import TICKS_PER_SECOND
 
-NOTIFY_DELAY = 0.02  # seconds for which changes are gathered into one notification
+NOTIFY_DELAY = 0.02  # seconds during which changes are collected into one notification
 
 
 class EndpointPublisher:
-    """Stores changes of the fleet's members and sends them to the edges that subscribed.
+    """Stores changes of the fleet's members, and sends them to subscribed edges.
 
     Attributes:
-        version: the version of the endpoint list that edges were notified of last.
-        unsaved: members whose changes the store has not taken yet.
+        version: the version of the endpoint list that edges were last notified of.
+        unsaved: members whose changes are not stored yet.
         subscribers: the edges' connections.
     """
 
@@ -39,41 +38,41 @@
         is_leader: Callable[[], bool],
     ):
         self.version = store.version
-        self.unsaved: dict[str, bool] = {}  # in the order in which they changed
-        self.subscribers: dict[PeerConnection, bool] = {}  # in the order in which they came
+        self.unsaved: dict[str, bool] = {}  # in order of change
+        self.subscribers: dict[PeerConnection, bool] = {}  # in order of arrival
         self._state = state
         self._store = store
         self._log = log
         self._cells = cells
         self._record = record
         self._is_leader = is_leader
-        self._pending: dict[str, bool] = {}  # members that changed, in the order of their first change
+        self._pending: dict[str, bool] = {}  # changed members, in order of their first change
         self._timer: asyncio.TimerHandle | None = None
 
     def begin_term(self) -> None:
-        """Forgets what was to be stored and sent in the term before."""
+        """Discards what remained to be stored and sent in the previous term."""
         self._pending = {}
         self.unsaved = {}
 
     def close(self) -> None:
-        """Ends without a further notification."""
+        """Stops without sending pending notifications."""
         if self._timer is not None:
             self._timer.cancel()
 
     def subscribe(self, peer: PeerConnection) -> None:
-        """Sends the complete list to an edge, and all changes from now on."""
+        """Sends an edge the complete list, and all changes from now on."""
         self.subscribers[peer] = True
         nodes = self._state.member_nodes()
-        # A list without nodes is not to be believed: an edge keeps what it has until one is known.
+        # An empty list is not credible: the edge keeps its previous one until a node is known.
         if nodes:
             peer.send(listing=self._listing(nodes, is_complete=True))
 
     def unsubscribe(self, peer: PeerConnection) -> None:
-        """An edge's connection ended."""
+        """Removes an edge whose connection ended."""
         self.subscribers.pop(peer, None)
 
     def on_member_changes(self, changes: list[StateChange]) -> None:
-        """Logs changes of members' states, and schedules a notification of them."""
+        """Logs changes of members' states, and schedules their publication."""
         for change in changes:
             self._log.info(
                 "member.state_changed",
@@ -85,7 +84,7 @@
             self.schedule(change.member)
 
     def schedule(self, member: str) -> None:
-        """Has a member stored and sent to the edges shortly."""
+        """Schedules a member to be stored and sent to the edges."""
         self._pending[member] = True
         if self._timer is None:
             self._timer = asyncio.get_running_loop().call_later(NOTIFY_DELAY, self._publish)
@@ -114,9 +113,10 @@
             peer.send(listing=listing)
 
     def save(self, changed: Iterable[str], version: int | None = None) -> None:
-        """Stores members that changed, and those that the store did not take before.
+        """Stores changed members, and those that could not be stored before.
 
-        What edges are notified of must survive a kill.  A full disk is logged, and tried again.
+        What edges are notified of must survive a crash of this planner.  A failed write is logged and is
+        repeated with the next call.
         """
         self.unsaved.update(dict.fromkeys(changed, True))
         rows, removed = [], []
@@ -130,8 +130,8 @@
             rows.append(MemberRow(name, member.kind, member.incarnation, member.draining, entry))
         try:
             self._store.save(rows, removed, self.version if version is None else version)
-        except OSError as fault:
-            self._log.error("membership_store.write_failed", why=str(fault), waiting=len(self.unsaved))
+        except OSError as error:
+            self._log.error("membership_store.write_failed", why=str(error), waiting=len(self.unsaved))
             return
         self.unsaved = {}
 
@@ -141,7 +141,7 @@
         for name, node in nodes.items():
             entry = listing.entries.add()
             entry.CopyFrom(node.entry)
-            # What a node reports of itself is not what was decided about it.
+            # The list has the planner's decision about a node, not what the node reported.
             state = self._state.membership.members[name].state
             entry.condition = PUBLISHED_STATES.get(state, state)
             entry.age += int((now - node.reported_at) * TICKS_PER_SECOND)
--- a/rushmux/planner/errors.py
+++ b/rushmux/planner/errors.py
@@ -1,17 +1,17 @@
-"""Errors of the control plane: one base class, and a subclass for each cause that a caller tells apart."""
+"""Errors of the control plane: a base class, and a subclass for each cause that callers distinguish."""
 
 from pathlib import Path
 
 
 class PlannerError(Exception):
-    """Base of all errors of this package; its text is a sentence for an operator."""
+    """Base of this package's errors; its message is meant for an operator."""
 
 
 class CommandRejectedError(PlannerError):
-    """An operator's command that was not carried out.
+    """An operator's command was not carried out.
 
     Attributes:
-        reason: why, as the planner or the network said it.
+        reason: the reason given by the planner or the network.
     """
 
     def __init__(self, reason: str):
@@ -20,17 +20,17 @@
 
 
 class PlannerUnavailableError(CommandRejectedError):
-    """A planner that did not answer, does not lead, or does not know the command's outcome.
+    """The planner did not answer, does not lead, or does not know the command's outcome.
 
-    The same command under the same client id and sequence number may be sent to another planner.
+    The command may be sent to another planner, with the same client id and sequence number.
     """
 
 
 class ProposalRejectedError(PlannerError):
-    """A command that the replicated log did not accept.
+    """The replicated log did not accept a command.
 
     Attributes:
-        reason: why it was not accepted.
+        reason: why not.
     """
 
     def __init__(self, reason: str):
@@ -39,17 +39,17 @@
 
 
 class ProposalUndecidedError(ProposalRejectedError):
-    """A command that this planner cannot commit, or whose outcome it does not know.
+    """This planner cannot commit a command, or does not know its outcome.
 
-    Another planner may commit it, or may have done so already.
+    Another planner may commit it, or may already have done so.
     """
 
 
 class NotLeaderError(ProposalUndecidedError):
-    """A command for the leader that reached another planner.
+    """A command for the leader reached another planner.
 
     Attributes:
-        leader: the member id of the leader, None where it is not known.
+        leader: the leader's member id, or None if unknown.
     """
 
     def __init__(self, leader: str | None, unknown: str = "no planner that is known here"):
@@ -58,7 +58,7 @@
 
 
 class _FileError(PlannerError):
-    """A file that cannot be used: the text names it and says why."""
+    """A file cannot be used; the message names the file and the reason."""
 
     def __init__(self, path: str | Path, reason: str):
         super().__init__(f"{path}: {reason}")
@@ -67,7 +67,7 @@
 
 
 class MembershipStoreError(_FileError):
-    """A membership store that cannot be opened.
+    """A membership store cannot be opened.
 
     Attributes:
         path: the store's file.
@@ -76,7 +76,7 @@
 
 
 class RaftStorageError(_FileError):
-    """A stored Raft log that a planner cannot continue from.
+    """A planner cannot use its stored Raft log.
 
     Attributes:
         path: the log's file.
--- a/rushmux/planner/fleet_admin.py
+++ b/rushmux/planner/fleet_admin.py
@@ -1,4 +1,4 @@
-"""Operators' commands on the fleet's members: show, drain, undrain."""
+"""Operators' commands about the fleet's members: show, drain, undrain."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 from rushmux.planner.fleet_state import FleetState
 from rushmux.planner.replicated_log import ReplicatedLog
 
-CHANGES = {  # verb -> its stored command, of a node's name
+DRAIN_COMMANDS = {  # verb -> function from a node's name to the stored command
     FleetVerb.DRAIN: stored_commands.drain,
     FleetVerb.UNDRAIN: stored_commands.undrain,
 }
 
 
 class FleetAdmin:
-    """Carries out commands on the members, and answers with the fleet as it then is."""
+    """Executes commands about members, and answers with the resulting state of the fleet."""
 
     def __init__(
         self, state: FleetState, publisher: EndpointPublisher, log: structlog.typing.FilteringBoundLogger
@@ -32,33 +32,33 @@
     async def execute_replicated(
         self, replicated_log: ReplicatedLog, command: messages.Order
     ) -> messages.Ordered:
-        """Carries out a command once the planners have committed it."""
+        """Executes a command once the planners have committed it."""
         if not replicated_log.is_leader:
-            fault = NotLeaderError(replicated_log.leader, unknown="no planner known here")
-            return messages.Ordered(fault=str(fault), elsewhere=True)
-        if command.verb in CHANGES and command.member in self._state.membership.members:
+            error = NotLeaderError(replicated_log.leader, unknown="no planner known here")
+            return messages.Ordered(fault=str(error), elsewhere=True)
+        if command.verb in DRAIN_COMMANDS and command.member in self._state.membership.members:
             try:
-                result = await replicated_log.propose(CHANGES[command.verb](command.member))
-            except ProposalRejectedError as fault:
-                return messages.Ordered(fault=str(fault), elsewhere=isinstance(fault, ProposalUndecidedError))
+                result = await replicated_log.propose(DRAIN_COMMANDS[command.verb](command.member))
+            except ProposalRejectedError as error:
+                return messages.Ordered(fault=str(error), elsewhere=isinstance(error, ProposalUndecidedError))
             if result.startswith("refused"):
                 return messages.Ordered(fault=result)
         return self.execute(command)
 
     def execute(self, command: messages.Order) -> messages.Ordered:
-        """Carries out a command at once."""
-        fault = self._fault_of(command)
-        if fault is None and command.verb in CHANGES:
+        """Executes a command immediately."""
+        reason = self._rejection_reason(command)
+        if reason is None and command.verb in DRAIN_COMMANDS:
             self._change_drain(FleetVerb(command.verb), command.member)
-        answer = messages.Ordered(fault=fault or "", term=self._state.term, version=self._publisher.version)
+        answer = messages.Ordered(fault=reason or "", term=self._state.term, version=self._publisher.version)
         self._add_members(answer)
         return answer
 
-    def _fault_of(self, command: messages.Order) -> str | None:
-        """Why a command cannot be carried out."""
+    def _rejection_reason(self, command: messages.Order) -> str | None:
+        """Returns why a command cannot be executed, or None."""
         if command.verb == FleetVerb.SHOW:
             return None
-        if command.verb not in CHANGES:
+        if command.verb not in DRAIN_COMMANDS:
             return f"there is no order '{command.verb}'; there are {', '.join(FleetVerb)}"
         member = self._state.membership.members.get(command.member)
         if member is None or member.kind != MemberKind.NODE:
--- a/rushmux/planner/fleet_state.py
+++ b/rushmux/planner/fleet_state.py
@@ -1,4 +1,4 @@
-"""What a planner that leads knows of its fleet: members, nodes' reports, drains, and reasons of states."""
+"""What a leading planner knows of its fleet: members, nodes' reports, drains and reasons for states."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,11 +9,11 @@
 
 
 class NodeRecord(NamedTuple):
-    """What a node reported last.
+    """A node's last report.
 
     Attributes:
-        entry: its entry in the endpoint list, as it sees itself.
-        reported_at: when the report came, in seconds of the loop's clock.
+        entry: the node's entry for the endpoint list, as it reported it.
+        reported_at: when the report arrived, in seconds of the event loop's clock.
     """
 
     entry: messages.Entry
@@ -21,13 +21,13 @@
 
 
 class FleetState:
-    """The fleet in one term of leadership.
+    """The fleet during one term of leadership.
 
     Attributes:
-        term: the term in which it was restored.
-        membership: which members are alive.
-        nodes: node name -> its last report.
-        drained: nodes that operators have drained.
+        term: the term in which this state was restored.
+        membership: the members and their states.
+        nodes: node name -> last report.
+        drained: nodes that operators drained.
         reasons: member -> why it is in its state.
     """
 
@@ -39,7 +39,7 @@
         self.reasons: dict[str, str] = {}
 
     def restore(self, now: float, term: int, rows: list[MemberRow], drained: Iterable[str]) -> None:
-        """Starts anew from stored members, in a new term."""
+        """Restores the state from stored members for a new term."""
         self.term = term
         self.drained = set(drained)
         self.nodes = {
@@ -57,7 +57,7 @@
         )
 
     def remove_forgotten_nodes(self) -> list[str]:
-        """Drops the reports of nodes that are no members any more; their names."""
+        """Removes the reports of nodes that are no longer members, and returns the nodes' names."""
         forgotten = [name for name in self.nodes if name not in self.membership.members]
         for name in forgotten:
             del self.nodes[name]
@@ -65,5 +65,5 @@
         return forgotten
 
     def member_nodes(self) -> dict[str, NodeRecord]:
-        """The reports of nodes that are members."""
+        """Returns the reports of nodes that are members."""
         return {name: node for name, node in self.nodes.items() if name in self.membership.members}
--- a/rushmux/planner/member_replacement.py
+++ b/rushmux/planner/member_replacement.py
@@ -1,7 +1,7 @@
-"""Takes planners with new disks into the log's configuration, in the place of their old members.
+"""Replaces members of the log's configuration whose planners come back with new disks.
 
-A planner whose disk was lost comes back as a new member: its name with the new disk's incarnation.  The
-leader sends it the log, adds it, then removes the old member, by one change of the configuration at a time.
+A planner that lost its disk comes back as a new member: its name with the new disk's incarnation.  The
+leader sends it the log, adds it and then removes the old member, one configuration change at a time.
 """
 
 from collections.abc import Collection
@@ -12,16 +12,16 @@
 from rushmux.planner.deduplicated_warnings import DeduplicatedWarnings
 from rushmux.planner.raft_transport import planner_of
 
-MAX_CANDIDATES = 8  # members that wait to be added
+MAX_CANDIDATES = 8  # new members waiting to be added
 
 
 class MemberReplacement:
-    """The leader's side of the replacement.
+    """The leader's part in the replacement of members.
 
     Args:
         planners: names of all planners of the fleet.
         log: the logger.
-        warnings: the logger of failures that repeat.
+        warnings: the logger of recurring failures.
     """
 
     def __init__(
@@ -33,16 +33,16 @@
         self._planners = planners
         self._log = log
         self._warnings = warnings
-        self._candidates: dict[str, bool] = {}  # in the order in which they came
+        self._candidates: dict[str, bool] = {}  # in order of arrival
 
     def on_planner_connected(self, member_id: str, members: Collection[str]) -> None:
-        """A planner connected under a member id, which may be a new one."""
+        """Remembers the member id of a planner that connected, if it is a new one."""
         is_new = member_id not in members and planner_of(member_id) in self._planners
         if is_new and len(self._candidates) < MAX_CANDIDATES:
             self._candidates[member_id] = True
 
     def advance(self, node: raft.RaftNode, now: float) -> bool:
-        """Proposes the next change of the configuration; whether there was one to propose."""
+        """Proposes the next configuration change, and returns whether there was one."""
         for candidate in list(self._candidates):
             wanted = self._wanted_members(candidate, node.members)
             if wanted is None:
@@ -53,7 +53,7 @@
         return False
 
     def _wanted_members(self, candidate: str, members: Collection[str]) -> list[str] | None:
-        """The members after the next change for a candidate; None: it has replaced its old member."""
+        """Returns the members after a candidate's next change, or None if it has replaced its old member."""
         if candidate not in members:
             return [*members, candidate]
         old = [
@@ -70,7 +70,7 @@
             if candidate not in node.members:
                 node.add_learner(now, candidate)
             node.change_members(now, wanted)
-        except raft.ProposalRejectedError as fault:
-            self._warnings.warn("raft.configuration_waiting", f"{candidate}: {fault}")
+        except raft.ProposalRejectedError as error:
+            self._warnings.warn("raft.configuration_waiting", f"{candidate}: {error}")
             return
         self._log.info("raft.configuration_proposed", members=wanted)
--- a/rushmux/planner/membership_store.py
+++ b/rushmux/planner/membership_store.py
@@ -1,7 +1,7 @@
-"""A planner's membership on its disk: members, drains, the endpoint list's version and the planner's term.
+"""A planner's membership on disk: members, drains, the endpoint list's version and the planner's term.
 
-The store is an SQLite file.  A change is one transaction, and each row has a checksum.  A change is on the
-disk before an edge is notified of it, so a killed planner never forgets what edges were told.
+The store is an SQLite file; each change is one transaction, and each row has a checksum.  Changes are stored
+before edges are notified of them, so that a killed planner does not forget what edges were told.
 """
 
 import sqlite3
@@ -28,9 +28,9 @@
 
     Attributes:
         name: the member's name.
-        kind: the value of its `MemberKind`.
+        kind: the value of the member's `MemberKind`.
         incarnation: differs at each start of the member.
-        draining: whether operators have it drained.
+        draining: whether operators drained the member.
         entry: a node's serialized `messages.Entry`; empty for an edge.
     """
 
@@ -42,12 +42,12 @@
 
     @property
     def checksum(self) -> int:
-        """The CRC32 that is stored with the row."""
+        """The CRC-32 stored with the row."""
         return _checksum(self.name, self.kind, self.incarnation, int(self.draining), self.entry)
 
 
 class StoredMembers(NamedTuple):
-    """What the store holds: the intact rows by name, and the names of damaged rows, which are left out."""
+    """The store's intact rows in order of their names, and the names of its damaged rows."""
 
     rows: list[MemberRow]
     damaged: list[str]
@@ -61,12 +61,12 @@
     """The store of one planner.
 
     Attributes:
-        path: the file's name, or `IN_MEMORY`.
-        term: the planner's term where it has no replicated log: higher at each start.
-        version: the version of the endpoint list that was stored last.
+        path: the file's path, or `IN_MEMORY`.
+        term: the planner's term if it has no replicated log; increases at each start.
+        version: the last stored version of the endpoint list.
 
     Raises:
-        MembershipStoreError: the file is no store, or one of a newer format.
+        MembershipStoreError: the file is not a membership store, or has a newer format.
     """
 
     def __init__(self, path: str | Path):
@@ -77,14 +77,14 @@
         if stored.get("format", STORE_FORMAT) != STORE_FORMAT:
             raise MembershipStoreError(
                 self.path,
-                f"format {stored['format']}, this planner reads {STORE_FORMAT}; start the newer one",
+                f"format {stored['format']}, this planner reads {STORE_FORMAT}; run a newer version of it",
             )
         self.term = stored.get("term", 0) + 1
         self.version = stored.get("version", 0)
         self._store_about(format=STORE_FORMAT, term=self.term)
 
     def _open(self) -> dict[str, int]:
-        """Connects, makes missing tables, and returns the stored values about the planner."""
+        """Connects, creates missing tables and returns the values in table `about`."""
         try:
             self._connection = sqlite3.connect(self.path, isolation_level=None)
             self._connection.execute("pragma journal_mode=wal")
@@ -92,8 +92,8 @@
             self._connection.execute(_CREATE_ABOUT)
             self._connection.execute(_CREATE_MEMBERS)
             return dict(self._connection.execute("select name, value from about"))
-        except sqlite3.DatabaseError as fault:
-            raise MembershipStoreError(self.path, f"is no store of a planner: {fault}") from fault
+        except sqlite3.DatabaseError as error:
+            raise MembershipStoreError(self.path, f"is not a planner's membership store: {error}") from error
 
     def _store_about(self, **values: int) -> None:
         self._connection.executemany("insert or replace into about values (?, ?)", list(values.items()))
@@ -110,10 +110,10 @@
         return stored
 
     def save(self, rows: Iterable[MemberRow], removed: Iterable[str], version: int) -> None:
-        """Stores and removes members, and the endpoint list's version, in one transaction.
+        """Stores and removes members and stores the endpoint list's version, in one transaction.
 
         Raises:
-            OSError: the disk does not take it; nothing of it is stored.
+            OSError: the write failed; nothing was stored.
         """
         try:
             self._connection.execute("begin immediate")
@@ -127,10 +127,10 @@
             self._connection.executemany("delete from members where name = ?", [(name,) for name in removed])
             self._store_about(version=version)
             self._connection.execute("commit")
-        except sqlite3.OperationalError as fault:
+        except sqlite3.OperationalError as error:
             if self._connection.in_transaction:
                 self._connection.execute("rollback")
-            raise OSError(f"{self.path}: {fault}") from fault
+            raise OSError(f"{self.path}: {error}") from error
         self.version = version
 
     def close(self) -> None:
--- a/rushmux/planner/peer_names.py
+++ b/rushmux/planner/peer_names.py
@@ -1,4 +1,4 @@
-"""What peers of a planner call themselves in their greeting; the values are those of the wire."""
+"""Names that a planner's peers give in their greetings on the wire."""
 
 OPERATOR = "people"
 EDGE_PREFIX = "edge"
@@ -6,15 +6,15 @@
 
 
 def is_edge(name: str) -> bool:
-    """Whether a peer of this name is an edge."""
+    """Returns whether a peer of this name is an edge."""
     return name.startswith(EDGE_PREFIX)
 
 
 def is_planner(name: str) -> bool:
-    """Whether a peer of this name is another planner."""
+    """Returns whether a peer of this name is a planner."""
     return name.startswith(PLANNER_PREFIX)
 
 
 def planner_member_id(name: str) -> str:
-    """The Raft member id in another planner's name."""
+    """Returns the Raft member id in a planner's peer name."""
     return name.removeprefix(PLANNER_PREFIX)
--- a/rushmux/planner/planner.py
+++ b/rushmux/planner/planner.py
@@ -220,7 +220,7 @@
         """Tells a node which policies' operations it is to reject."""
         if self.replicated_log is None or self._floor is None:
             return
-        floor = self._floor.announced(self.replicated_log.policy.fencing_floor, self.loop.time())
+        floor = self._floor.floor_to_send(self.replicated_log.policy.fencing_floor, self.loop.time())
         if floor is not None:
             peer.send(floor=messages.Floor(number=floor))
 
--- a/rushmux/planner/policy_admin.py
+++ b/rushmux/planner/policy_admin.py
@@ -1,4 +1,4 @@
-"""Operators' commands on the fleet's policy: show, propose, revert, withdraw, forget."""
+"""Operators' commands about the fleet's policy: show, propose, revert, withdraw, forget."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -15,13 +15,13 @@
 from rushmux.settings import policy as policy_documents
 from rushmux.settings.deployment import Deployment, DeploymentError
 
-MAX_COMMAND = 512 << 10  # bytes
-MAX_NUMBER = 1 << 53  # of a version or a client's command: JSON's numbers are exact up to it
-MAX_NAME = 64  # characters of a client id and of an operator's name
+MAX_COMMAND_BYTES = 512 << 10  # bytes
+MAX_NUMBER = 1 << 53  # of a version or a client's command; JSON numbers are exact up to this
+MAX_NAME_LENGTH = 64  # characters of a client id or an operator's name
 
 
 def bootstrap_command(deployment: Deployment) -> StoredCommand:
-    """The command that makes a fleet's first policy: that of its deployment file."""
+    """Returns the command that creates a fleet's first policy, that of its deployment file."""
     members = [f"edge{number}" for number in range(deployment.settings.gateway_count)]
     return stored_commands.bootstrap(members, _document_of(deployment))
 
@@ -33,57 +33,57 @@
 async def execute(
     replicated_log: ReplicatedLog | None, deployment: Deployment | None, command: messages.PolicyOrder
 ) -> messages.PolicyAnswer:
-    """Carries out a command; the answer has what was wrong with it."""
+    """Executes a command; the answer says what was wrong with it, if anything."""
     if replicated_log is None:
         return messages.PolicyAnswer(fault="this planner keeps no policy: start it with --planners")
     try:
         fields = _fields_of(command)
-    except ValueError as fault:
-        return messages.PolicyAnswer(fault=f"an order that cannot be read: {fault}")
+    except ValueError as error:
+        return messages.PolicyAnswer(fault=f"an order that cannot be read: {error}")
     if command.verb == PolicyVerb.SHOW:
         return messages.PolicyAnswer(state=encode_status(replicated_log))
     try:
         stored = _stored_command(replicated_log, deployment, command.verb, fields)
         result = await replicated_log.propose(stored)
-    except KeyError as fault:
-        return messages.PolicyAnswer(fault=f"the order lacks {fault}")
-    except (ProposalRejectedError, DeploymentError, TypeError, ValueError) as fault:
-        undecided = isinstance(fault, ProposalUndecidedError)
-        return messages.PolicyAnswer(fault=str(fault), elsewhere=undecided)
+    except KeyError as error:
+        return messages.PolicyAnswer(fault=f"the order lacks {error}")
+    except (ProposalRejectedError, DeploymentError, TypeError, ValueError) as error:
+        undecided = isinstance(error, ProposalUndecidedError)
+        return messages.PolicyAnswer(fault=str(error), elsewhere=undecided)
     return messages.PolicyAnswer(said=result, state=encode_status(replicated_log))
 
 
 def _fields_of(command: messages.PolicyOrder) -> dict[str, Any]:
-    """The command's fields; ValueError where they cannot be read."""
+    """Returns the command's fields; raises ValueError if they cannot be read."""
     fields = orjson.loads(command.order) if command.order else {}
-    if len(command.order) > MAX_COMMAND or not isinstance(fields, dict):
+    if len(command.order) > MAX_COMMAND_BYTES or not isinstance(fields, dict):
         raise ValueError(f"{len(command.order)} bytes")
     return fields
 
 
 def _number(value: Any) -> int:
-    """A number of a command; ValueError or TypeError where it is none that a policy or a command may have."""
+    """Returns a version or sequence number; raises ValueError or TypeError if it is invalid."""
     try:
         number = int(value)
-    except OverflowError as fault:
-        raise ValueError(str(fault)) from fault
+    except OverflowError as error:
+        raise ValueError(str(error)) from error
     if not 0 <= number <= MAX_NUMBER:
-        raise ValueError(f"{str(value)[:MAX_NAME]} is no number of a policy or an order")
+        raise ValueError(f"{str(value)[:MAX_NAME_LENGTH]} is no number of a policy or an order")
     return number
 
 
 def _origin_of(fields: Mapping[str, Any]) -> Origin:
     return Origin(
-        client=str(fields["client"])[:MAX_NAME],
+        client=str(fields["client"])[:MAX_NAME_LENGTH],
         sequence=_number(fields["n"]),
-        author=str(fields["by"])[:MAX_NAME],
+        author=str(fields["by"])[:MAX_NAME_LENGTH],
     )
 
 
 def _stored_command(
     replicated_log: ReplicatedLog, deployment: Deployment, verb: str, fields: Mapping[str, Any]
 ) -> StoredCommand:
-    """The log's entry for an operator's command."""
+    """Returns the stored form of an operator's command."""
     origin = _origin_of(fields)
     if verb == PolicyVerb.PROPOSE:
         document = _checked_document(replicated_log, deployment, fields["text"])
@@ -99,7 +99,7 @@
 
 
 def _checked_document(replicated_log: ReplicatedLog, deployment: Deployment, text: str) -> PolicyDocument:
-    """A proposed policy, which must be valid and one that can change while the fleet runs."""
+    """Returns a proposed policy, which must be valid and be able to take effect while the fleet runs."""
     active = replicated_log.policy.active
     if active is None:
         raise ProposalUndecidedError("the fleet has no first policy yet")
--- a/rushmux/planner/policy_floor.py
+++ b/rushmux/planner/policy_floor.py
@@ -1,17 +1,17 @@
-"""When storage nodes are told of the fencing floor: the oldest policy that a member may still go by."""
+"""Decides when storage nodes learn the fencing floor: the oldest policy that a member may still apply."""
 
 from rushmux.scheduling.driver import TICKS_PER_SECOND
 from rushmux.settings.deployment import Deployment
 
-GRACE = 1.0  # seconds beyond the longest deadline: time on the way, and a late timer
-FIRST_POLICY = 1  # no node has anything older to reject
+GRACE_PERIOD = 1.0  # seconds beyond the longest deadline, for network delay and late timers
+FIRST_VERSION = 1  # of a policy: there are no older ones to reject
 
 
 class PolicyFloor:
     """Delays a new floor until no operation under an older policy can still be running.
 
-    What a member admitted before it went on to the next policy ends under the old one.  So nodes are told
-    of a floor only once the longest deadline is over since this planner saw it.
+    An operation that a member admitted under one policy also ends under it.  Nodes are therefore told of a
+    floor only when the longest deadline has passed since this planner learned of it.
     """
 
     def __init__(self, deployment: Deployment):
@@ -19,16 +19,16 @@
         self._floor = 0
         self._since = 0.0
 
-    def announced(self, floor: int, now: float) -> int | None:
-        """The floor that a node is to be told now; None: none yet.
+    def floor_to_send(self, floor: int, now: float) -> int | None:
+        """Returns the floor to send to nodes, or None if there is none yet.
 
         Args:
-            floor: the floor as the replicated state has it.
-            now: seconds of the loop's clock.
+            floor: the floor in the replicated state.
+            now: seconds of the event loop's clock.
         """
-        if floor <= FIRST_POLICY:
+        if floor <= FIRST_VERSION:
             return None
         if floor != self._floor:
             self._floor, self._since = floor, now
         longest = max(request_class.deadline for request_class in self._classes.values()) / TICKS_PER_SECOND
-        return floor if now - self._since > longest + GRACE else None
+        return floor if now - self._since > longest + GRACE_PERIOD else None
--- a/rushmux/planner/policy_leader.py
+++ b/rushmux/planner/policy_leader.py
@@ -1,4 +1,4 @@
-"""The leader's work for one term: confirmed leadership, members' leases, and the rollout of changes."""
+"""The leader's work during one term: confirming leadership, members' leases, rolling out changes."""
 
 from collections.abc import Callable
 from functools import partial
@@ -14,30 +14,30 @@
 from rushmux.planner.server import PeerConnection
 from rushmux.planner.stored_commands import StoredCommand
 
-MAX_REASON = 1_000  # characters of a member's reason, which may become a part of an entry of the log
+MAX_REASON_LENGTH = 1_000  # characters of a member's reason, which may become part of a log entry
 
 
 class _Confirmation(NamedTuple):
-    """A function to call once a majority has echoed a round later than `round`."""
+    """A function to call once a majority has confirmed a round later than `round`."""
 
     round: int
     call: Callable[[], None]
 
 
 class _LeaseHolder(NamedTuple):
-    """A member that requested a lease, and the numbers of the policies whose texts it has."""
+    """A member that requested a lease, and the versions of the policies whose texts it has."""
 
     peer: PeerConnection
-    known: tuple[int, int]
+    known_versions: tuple[int, int]
 
 
 class PolicyLeader:
-    """What a planner does for the policy's members while it leads.
+    """Serves the policy's members while this planner leads.
 
     Args:
         state: the replicated state.
-        now: when its leadership began, in seconds of the loop's clock.
-        bootstrap_command: gives the command that makes the fleet's first policy, or None.
+        now: when leadership began, in seconds of the event loop's clock.
+        bootstrap_command: returns the command that creates the fleet's first policy, or None.
         log: the logger.
     """
 
@@ -56,9 +56,9 @@
         self._holders: dict[str, _LeaseHolder] = {}
 
     def confirm_leadership(self, current_round: int, call: Callable[[], None]) -> None:
-        """Calls a function once a majority has confirmed a round that begins after this.
+        """Calls a function once a majority has confirmed a round that begins after this call.
 
-        The function is never called if that does not come about, or if too many wait.
+        It is never called if no such round is confirmed, or if too many functions wait.
         """
         if len(self._confirmations) < MAX_PROPOSALS:
             self._confirmations.append(_Confirmation(current_round, call))
@@ -66,50 +66,50 @@
     def on_lease_request(
         self, peer: PeerConnection, request: messages.PolicyAsk, now: float, current_round: int
     ) -> None:
-        """A member requests a lease; it is answered once a majority has confirmed a later round.
+        """Registers a lease request, to be answered once a majority has confirmed a later round.
 
         Raises:
-            WireError: the request is in another member's name.
+            WireError: the request names another member.
         """
         if request.member != peer.name:
-            raise WireError(f"{peer.name} asks for {request.member}")
+            raise WireError(f"{peer.name} requested a lease for {request.member}")
         lease_request = LeaseRequest(
             request.member,
             request.ask,
             request.force,
             request.joint,
             request.refused,
-            request.against[:MAX_REASON],
+            request.against[:MAX_REASON_LENGTH],
         )
         self._holders[request.member] = _LeaseHolder(peer, (request.force, request.joint))
         self.coordinator.on_lease_request(now, lease_request, current_round)
 
     def on_round_confirmed(self, confirmed_round: int) -> None:
-        """Calls what waited for a round that is confirmed by now."""
+        """Calls the functions that waited for a round that is now confirmed."""
         ready = [waiting for waiting in self._confirmations if waiting.round < confirmed_round]
         self._confirmations = [waiting for waiting in self._confirmations if waiting.round >= confirmed_round]
         for waiting in ready:
-            self._call_for_one(waiting.call)
+            self._call_logging_errors(waiting.call)
 
     def send_grants(self, now: float, confirmed_round: int, term: int, index: int) -> None:
-        """Answers lease requests that came before a confirmed round."""
+        """Grants leases that were requested before a confirmed round."""
         for grant in self.coordinator.grant_leases(now, confirmed_round, term, index):
             holder = self._holders[grant.member]
-            self._call_for_one(partial(_send_grant, holder, grant))
+            self._call_logging_errors(partial(_send_grant, holder, grant))
 
-    def _call_for_one(self, answer: Callable[[], None]) -> None:
-        """Answers one peer; an error of that must not end the step, which serves all others too."""
+    def _call_logging_errors(self, answer: Callable[[], None]) -> None:
+        """Answers one peer, logging any error: it must not end a step that serves other peers too."""
         try:
             answer()
         except Exception:
             self._log.exception("policy_leader.answer_fault")
 
     def next_command(self, now: float) -> StoredCommand | None:
-        """The command that the leader itself proposes now."""
+        """Returns the command that the leader itself should propose now, if any."""
         if self._state.policy.active is None:
             return self._bootstrap_command()
         return self.coordinator.next_command(now)
 
 
 def _send_grant(holder: _LeaseHolder, grant: LeaseGrant) -> None:
-    holder.peer.send(policy_grant=raft_codec.encode_grant(grant, holder.known))
+    holder.peer.send(policy_grant=raft_codec.encode_grant(grant, holder.known_versions))
--- a/rushmux/planner/policy_status.py
+++ b/rushmux/planner/policy_status.py
@@ -1,4 +1,4 @@
-"""The policy's state as operators are shown it, in JSON; its keys are those that clients read."""
+"""The policy's state as JSON for operators; clients read its keys."""
 
 from typing import Any
 
@@ -9,9 +9,9 @@
 
 
 def encode_status(replicated_log: ReplicatedLog) -> bytes:
-    """What a planner knows of the policy.
+    """Returns the policy's state as this planner knows it.
 
-    Planners differ only in how new that is, and only the leader knows what members reported.
+    Other planners may know an older or newer one; only the leader knows what members report.
     """
     policy = replicated_log.policy
     active, staged = policy.active, policy.staged
--- a/rushmux/planner/proposals.py
+++ b/rushmux/planner/proposals.py
@@ -1,4 +1,4 @@
-"""Commands that were proposed to the replicated log and wait to be committed."""
+"""Commands that were proposed to the replicated log and are not committed yet."""
 
 import asyncio
 from typing import NamedTuple
@@ -6,8 +6,8 @@
 from rushmux.planner.errors import ProposalUndecidedError
 from rushmux.planner.stored_commands import StoredCommand, is_same_change
 
-PROPOSAL_TIMEOUT = 8.0  # seconds until an operator is told that a command was not decided
-MAX_PROPOSALS = 4_096  # one of each of a thousand edges, with room
+PROPOSAL_TIMEOUT = 8.0  # seconds after which an operator is told that a command is undecided
+MAX_PROPOSALS = 4_096  # one for each of a thousand edges, with headroom
 
 
 class _Proposal(NamedTuple):
@@ -17,30 +17,30 @@
 
 
 class PendingProposals:
-    """Proposals by their index in the log."""
+    """Pending proposals by their index in the log."""
 
     def __init__(self):
         self._proposals: dict[int, _Proposal] = {}
 
     @property
     def is_full(self) -> bool:
-        """Whether no further proposal may wait."""
+        """Whether no further proposal is accepted."""
         return len(self._proposals) >= MAX_PROPOSALS
 
     def add(self, index: int, term: int, command: StoredCommand) -> asyncio.Future:
-        """Waits for an entry to be committed; a future of the command's result."""
+        """Adds the proposal of an entry, and returns a future of its command's result."""
         result = asyncio.get_running_loop().create_future()
-        # The leader proposes commands for itself too, and awaits none of their results.
+        # Marks the exception as retrieved: the leader does not await the results of its own proposals.
         result.add_done_callback(lambda _: result.cancelled() or result.exception())
         self._proposals[index] = _Proposal(term, command, result)
         return result
 
     def contains(self, command: StoredCommand) -> bool:
-        """Whether a command of this kind and policy number waits."""
+        """Returns whether a command of the same kind and policy version is pending."""
         return any(is_same_change(proposal.command, command) for proposal in self._proposals.values())
 
     def resolve(self, index: int, term: int, result: str) -> None:
-        """An entry was applied: the proposal at its index has a result, or was overwritten."""
+        """Ends the proposal at an applied entry's index: it has a result, or was overwritten."""
         proposal = self._proposals.pop(index, None)
         if proposal is None or proposal.result.done():
             return
@@ -52,7 +52,7 @@
             )
 
     def fail_all(self, reason: str) -> None:
-        """Tells all that wait that the outcome of their commands is not known here."""
+        """Fails all pending proposals, since this planner will not learn their outcome."""
         proposals, self._proposals = self._proposals, {}
         for proposal in proposals.values():
             if not proposal.result.done():
--- a/rushmux/planner/quota_service.py
+++ b/rushmux/planner/quota_service.py
@@ -1,4 +1,4 @@
-"""Answers edges' requests for their quotas of the folders' limits."""
+"""Answers edges' requests for quotas, which are parts of the folders' limits."""
 
 from collections.abc import Callable, Iterable
 
@@ -7,15 +7,15 @@
 from rushmux.planner.server import PeerConnection
 
 MAX_WANTED_FOLDERS = 10_000  # in one request
-MAX_WANTED_PART = 1e9  # of a folder's limit
+MAX_WANTED_PART = 1e9  # as a multiple of a folder's limit
 
 
 class QuotaService:
-    """The quotas of one term of leadership.
+    """Grants quotas while this planner leads.
 
     Args:
         limited_folders: names of the folders that have limits.
-        gateway_count: edges that there may ever be.
+        gateway_count: the maximum number of edges.
         confirm_leadership: calls a function once a majority has confirmed that this planner leads.
     """
 
@@ -28,27 +28,27 @@
         self._limited_folders = limited_folders
         self._gateway_count = gateway_count
         self._confirm_leadership = confirm_leadership
-        self._unconfirmed: set[PeerConnection] = set()  # edges whose requests wait for a majority
+        self._unconfirmed: set[PeerConnection] = set()  # edges with a request waiting for a majority
         self._allocator: QuotaAllocator | None = None
 
     def begin_term(self, term: int, now: float) -> None:
-        """Starts anew: what an earlier leader granted is not known."""
+        """Starts without knowing any grants, since those of an earlier leader are not stored."""
         self._allocator = QuotaAllocator(term, self._limited_folders, self._gateway_count, now)
 
     def forget_unconfirmed(self) -> None:
-        """Drops requests that wait for a majority: leadership began or ended."""
+        """Drops requests that wait for a majority, when leadership begins or ends."""
         self._unconfirmed.clear()
 
     def on_request(self, peer: PeerConnection, request: messages.Ask, clock: Callable[[], float]) -> None:
-        """Answers an edge's request once this planner is sure that it leads.
+        """Answers an edge's request once a majority has confirmed that this planner leads.
 
-        A planner that others have replaced would grant quotas that are somebody else's by now.  One request
-        of an edge waits at a time; further ones are dropped, and the edge repeats them.
+        A leader that was replaced without knowing it would grant quotas that now belong to other edges.  One
+        request of each edge waits at a time; further ones are dropped, and the edge repeats them.
 
         Raises:
-            WireError: the request makes no sense.
+            WireError: the request is invalid.
         """
-        # Here, not when it is answered: that is done in a step of the replicated log, which serves all.
+        # Checked before it waits: an error while answering would interrupt a step of the replicated log.
         _check(request)
         if peer in self._unconfirmed:
             return
@@ -79,7 +79,7 @@
 
 
 def _check(request: messages.Ask) -> None:
-    """Raises WireError where a request makes no sense; a part that is not a number compares with nothing."""
-    parts_make_sense = all(0 <= want.part < MAX_WANTED_PART for want in request.wants)
-    if len(request.wants) > MAX_WANTED_FOLDERS or not parts_make_sense:
-        raise WireError("an ask that makes no sense")
+    """Raises WireError if a request is invalid; a NaN part is out of range too."""
+    parts_are_valid = all(0 <= want.part < MAX_WANTED_PART for want in request.wants)
+    if len(request.wants) > MAX_WANTED_FOLDERS or not parts_are_valid:
+        raise WireError("invalid quota request: too many folders, or a part out of range")
--- a/rushmux/planner/raft_codec.py
+++ b/rushmux/planner/raft_codec.py
@@ -1,6 +1,6 @@
-"""Raft messages, policies and lease grants on the nodes' wire: `fleet` records to messages and back, no I/O.
+"""Converts Raft messages, policies and lease grants between `fleet` records and wire messages; no I/O.
 
-The wire has one message for all kinds of Raft messages; which of its fields are used follows from its kind.
+One wire message stands for all kinds of Raft messages; its kind determines which of its fields are used.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -9,8 +9,8 @@
 from rushmux.fleet.policy import LeaseGrant, Policy
 from rushmux.nodewire import WireError, messages
 
-MAX_ENTRY_BYTES = 512 << 10  # of the entries in one message: a frame holds a megabyte
-ENTRY_OVERHEAD = 64  # bytes of an entry beside its body, at most
+MAX_ENTRY_BYTES = 512 << 10  # of the entries in one message; a frame holds 1 MiB
+ENTRY_OVERHEAD = 64  # maximum bytes of an entry besides its body
 
 KINDS: dict[type, str] = {
     raft.RequestVote: "ask",
@@ -22,7 +22,7 @@
 
 
 def encode(message: raft.Message) -> messages.Word:
-    """A Raft message for the wire."""
+    """Encodes a Raft message."""
     kind = KINDS[type(message)]
     encoded = messages.Word(kind=kind, sender=message.sender, to=message.receiver, term=message.term)
     _ENCODERS[kind](message, encoded)
@@ -30,10 +30,10 @@
 
 
 def decode(encoded: messages.Word) -> raft.Message:
-    """The Raft message of one from the wire; WireError where its kind is unknown."""
+    """Decodes a Raft message; raises WireError if its kind is unknown."""
     decoder = _DECODERS.get(encoded.kind)
     if decoder is None:
-        raise WireError(f"there is no word '{encoded.kind}' of a log")
+        raise WireError(f"unknown kind '{encoded.kind}' of a Raft message")
     return decoder(encoded)
 
 
@@ -130,7 +130,7 @@
 
 
 def _encode_entries(entries: Iterable[raft.Entry]) -> list[messages.LogEntry]:
-    """As many entries as fit, at least one: the rest goes with the next message."""
+    """Encodes as many entries as fit, at least one; the rest goes into the next message."""
     encoded, size = [], 0
     for entry in entries:
         size += len(entry.body) + ENTRY_OVERHEAD
@@ -156,7 +156,7 @@
 
 
 def encode_policy(policy: Policy, *, is_known: bool) -> messages.Policy:
-    """A policy for the wire; its number and checksum alone for a member that has the rest."""
+    """Encodes a policy; only its version and checksum if the receiver knows it."""
     if is_known:
         return messages.Policy(number=policy.version, sum=policy.checksum)
     limits = [
@@ -166,15 +166,15 @@
     return messages.Policy(number=policy.version, sum=policy.checksum, text=policy.text, rows=limits)
 
 
-def encode_grant(grant: LeaseGrant, known: Collection[int]) -> messages.PolicyGrant:
-    """A lease grant for a member that has the policies of the `known` numbers."""
+def encode_grant(grant: LeaseGrant, known_versions: Collection[int]) -> messages.PolicyGrant:
+    """Encodes a lease grant for a member that has the policies of the known versions."""
     encoded = messages.PolicyGrant(
         member=grant.member,
         ask=grant.request_id,
         term=grant.term,
         index=grant.index,
-        force=encode_policy(grant.active, is_known=grant.active.version in known),
+        force=encode_policy(grant.active, is_known=grant.active.version in known_versions),
     )
     if grant.staged is not None:
-        encoded.staged.CopyFrom(encode_policy(grant.staged, is_known=grant.staged.version in known))
+        encoded.staged.CopyFrom(encode_policy(grant.staged, is_known=grant.staged.version in known_versions))
     return encoded
--- a/rushmux/planner/raft_storage.py
+++ b/rushmux/planner/raft_storage.py
@@ -1,9 +1,9 @@
 """The Raft log on a planner's disk: what the Raft node hands out is synced before anything is sent.
 
-One file of records (`rushmux.records`).  The first may be a snapshot; a new snapshot rewrites the file, which
-then replaces the old one at once, so that a kill leaves either.  An incomplete last record was never
-acknowledged and is cut off.  Damage before it means that acknowledged entries or votes are lost, and the
-planner does not start: it would break what it promised.
+The log is a file of records (`rushmux.records`).  A new snapshot replaces the file atomically: a crash leaves
+either the old or the new one.  An incomplete last record was never acknowledged and is truncated.  Damage
+before it means that acknowledged entries or votes are lost; the planner then refuses to start, because it
+could vote twice in a term or lose committed entries.
 """
 
 import fcntl
@@ -20,18 +20,18 @@
 
 MAGIC = b"RMPL"
 FORMAT = 1
-MAX_RECORD = 4 << 20  # bytes: a snapshot of the largest state, with room
-MAX_FILE = 64 << 20  # bytes: far above what is kept between two snapshots
+MAX_RECORD_BYTES = 4 << 20  # a snapshot of the largest state, with headroom
+MAX_FILE_BYTES = 64 << 20  # far more than accumulates between two snapshots
 LOCK_MODE = 0o600
 
 
 class RecordKind(Enum):
-    """The first byte of a record."""
+    """The kinds of records; a record's first byte."""
 
     INCARNATION = b"L"  # of the disk
-    VOTE = b"V"  # the term, and whom this member voted for in it
+    VOTE = b"V"  # the term, and the member that this one voted for in it
     ENTRY = b"E"
-    TRUNCATION = b"C"  # from an index on, entries before this record do not count
+    TRUNCATION = b"C"  # earlier records' entries from an index on are void
     SNAPSHOT = b"S"
 
 
@@ -61,16 +61,16 @@
 
 
 class RaftStorage:
-    """The file of one planner, held by one program at a time.
+    """One planner's log file, used by one program at a time.
 
     Args:
-        path: the log's file.
-        new_incarnation: draws the incarnation of a disk that is new.
+        path: the log file.
+        new_incarnation: draws the incarnation of a new disk.
 
     Attributes:
-        persistent: what the file holds; None until a new one is created.
-        incarnation: names this disk: one that was lost comes back under another.
-        is_new: whether there was no file.
+        persistent: the file's content; None until a new file is created.
+        incarnation: identifies this disk; the replacement of a lost disk has another.
+        is_new: whether there is no file yet.
 
     Raises:
         RaftStorageError: another program holds the file, or it is damaged.
@@ -94,46 +94,46 @@
             raise
 
     def _acquire_lock(self) -> int:
-        """Locks the file: an older program that was only stopped would vote beside the new one."""
+        """Locks the file: a suspended older program would otherwise vote beside this one."""
         lock = os.open(self.path.with_name(self.path.name + ".lock"), os.O_RDWR | os.O_CREAT, LOCK_MODE)
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError as fault:
+        except OSError as error:
             os.close(lock)
-            raise RaftStorageError(self.path, "another program holds this log") from fault
+            raise RaftStorageError(self.path, "another program holds this log") from error
         return lock
 
     def load(self) -> None:
-        """Reads the file, and cuts an incomplete last record off.
+        """Reads the file, and truncates an incomplete last record.
 
         Raises:
-            RaftStorageError: the file is too long, of another format, or damaged.
-            OSError: the disk fails.
+            RaftStorageError: the file is too large, of another format or damaged.
+            OSError: the disk failed.
         """
-        if self.path.stat().st_size > MAX_FILE:
-            raise RaftStorageError(self.path, f"over {MAX_FILE} bytes")
+        if self.path.stat().st_size > MAX_FILE_BYTES:
+            raise RaftStorageError(self.path, f"larger than {MAX_FILE_BYTES} bytes")
         try:
-            found = records.read_file(self.path.read_bytes(), MAGIC, FORMAT, MAX_RECORD)
-        except records.RecordFileError as fault:
-            raise RaftStorageError(self.path, f"is no log of a planner: {fault}") from fault
+            found = records.read_file(self.path.read_bytes(), MAGIC, FORMAT, MAX_RECORD_BYTES)
+        except records.RecordFileError as error:
+            raise RaftStorageError(self.path, f"is not a planner's log: {error}") from error
         if found.damaged:
             raise RaftStorageError(
                 self.path,
-                f"damaged at byte {found.end}, and whole records follow: what this planner promised is not "
-                f"known any more.  Put the file aside and start it with none: it comes back as a new member",
+                f"damaged at byte {found.end}, with intact records after it: acknowledged votes or entries may "
+                f"be lost.  Move the file away and restart this planner: it will join as a new member",
             )
         try:
             self.persistent = self._replay(found.bodies)
-        except (ValueError, IndexError, TypeError) as fault:
-            raise RaftStorageError(self.path, f"holds what no planner wrote: {fault}") from fault
+        except (ValueError, IndexError, TypeError) as error:
+            raise RaftStorageError(self.path, f"has invalid content: {error}") from error
         self._open_file()
         os.ftruncate(self._file, found.end)
         os.fsync(self._file)
 
     def _replay(self, bodies: Iterable[bytes]) -> PersistentState:
-        """What the records make; ValueError where they are not a planner's."""
+        """Rebuilds the state from the records; raises ValueError if they are invalid."""
         if not bodies:
-            raise ValueError("no life of its disk: it was killed while it was made")
+            raise ValueError("no incarnation: the planner was killed while creating the file")
         term, voted_for, snapshot = 0, None, Snapshot(0, 0, (), b"")
         entries: dict[int, Entry] = {}
         for body in bodies:
@@ -149,16 +149,16 @@
             else:
                 index, entry = _decode_entry(values)
                 entries[index] = entry
-        return PersistentState(term, voted_for, snapshot, _following(entries, snapshot.index))
+        return PersistentState(term, voted_for, snapshot, _entries_after(entries, snapshot.index))
 
     def create(self, persistent: PersistentState) -> None:
-        """Makes the file of a planner that starts for the first time."""
+        """Creates the file of a planner that starts for the first time."""
         self.persistent = persistent
         self.rewrite()
         self.is_new = False
 
     def rewrite(self) -> None:
-        """Replaces the file by one that holds what it held, and nothing that was overwritten since."""
+        """Replaces the file by one with the same content, without overwritten records."""
         persistent = self.persistent
         entries = enumerate(persistent.entries, persistent.snapshot.index + 1)
         bodies = [
@@ -176,7 +176,7 @@
         """Writes and syncs what the Raft node handed out.
 
         Raises:
-            OSError: the disk does not take it; then nothing of it may be sent.
+            OSError: the write failed; nothing of `ready` may be sent.
         """
         bodies = []
         if ready.hard_state is not None:
@@ -184,7 +184,7 @@
         if ready.truncate_from is not None:
             bodies.append(_encode(RecordKind.TRUNCATION, ready.truncate_from))
         bodies += [_encode_entry(index, entry) for index, entry in ready.entries]
-        self.persistent = _after(self.persistent, ready)
+        self.persistent = _persistent_after(self.persistent, ready)
         if ready.snapshot is not None:
             self.rewrite()
         elif bodies:
@@ -205,7 +205,7 @@
             self._file = None
 
     def release(self) -> None:
-        """Closes the file, and lets another program have it."""
+        """Closes and unlocks the file."""
         self._close_file()
         os.close(self._lock)
 
@@ -213,12 +213,12 @@
 def _record_kind(first_byte: bytes) -> RecordKind:
     try:
         return RecordKind(first_byte)
-    except ValueError as fault:
-        raise ValueError(f"a record of kind {first_byte!r}") from fault
+    except ValueError as error:
+        raise ValueError(f"unknown record kind {first_byte!r}") from error
 
 
-def _following(entries: dict[int, Entry], snapshot_index: int) -> tuple[Entry, ...]:
-    """The entries that follow a snapshot, up to the first gap."""
+def _entries_after(entries: dict[int, Entry], snapshot_index: int) -> tuple[Entry, ...]:
+    """Returns the entries after a snapshot, up to the first gap."""
     following, index = [], snapshot_index + 1
     while index in entries:
         following.append(entries[index])
@@ -226,8 +226,8 @@
     return tuple(following)
 
 
-def _after(before: PersistentState, ready: Ready) -> PersistentState:
-    """What the disk holds once `ready` is written."""
+def _persistent_after(before: PersistentState, ready: Ready) -> PersistentState:
+    """Returns the disk's content after `ready` is written."""
     entries = dict(enumerate(before.entries, before.snapshot.index + 1))
     if ready.truncate_from is not None:
         entries = {index: entry for index, entry in entries.items() if index < ready.truncate_from}
--- a/rushmux/planner/raft_transport.py
+++ b/rushmux/planner/raft_transport.py
@@ -1,7 +1,7 @@
-"""Connections to the other planners, on which this one's Raft messages go out.
+"""Connections to the other planners, over which this planner sends its Raft messages.
 
-Each planner dials every other one, and sends on the connection that it dialled; what it receives comes on
-those that others dialled.  A message that cannot be sent is dropped: Raft repeats it.
+Each planner dials all others.  It sends on the connections that it dialled and receives on those that the
+others dialled.  A message that cannot be sent is dropped, since Raft repeats it.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 from rushmux.planner.deduplicated_warnings import DeduplicatedWarnings
 from rushmux.supervision import Supervisor
 
-CONNECT_TIMEOUT = 1.0  # seconds: a planner that was cut off answers nothing at all
-RECONNECT_PAUSE = 0.3  # seconds until another planner is dialled again
-MAX_BUFFERED = 2 << 20  # bytes for a planner that reads nothing: no more are written
-READ_SIZE = 1 << 16  # bytes asked of a socket at once
+CONNECT_TIMEOUT = 1.0  # seconds; a planner behind a network partition does not answer at all
+RECONNECT_PAUSE = 0.3  # seconds until a planner is dialled again
+MAX_BUFFERED = 2 << 20  # bytes waiting for a planner that does not read; further messages are dropped
+READ_SIZE = 1 << 16  # bytes per read from a socket
 
 
 def planner_of(member_id: str) -> str:
-    """The planner's name in a member id, which is the name and the incarnation of its disk."""
+    """Returns the planner's name in a member id, which has the form `name/incarnation`."""
     return member_id.split("/")[0]
 
 
@@ -32,8 +32,8 @@
     Args:
         member_id: this planner's member id.
         addresses: name -> (host, port) of each other planner.
-        warnings: the logger of failures that repeat.
-        supervisor: runs its tasks, and ends them with the program.
+        warnings: the logger of recurring failures.
+        supervisor: runs the connections' tasks, and ends them with the program.
     """
 
     def __init__(
@@ -50,29 +50,29 @@
         self._supervisor = supervisor
 
     def start(self) -> None:
-        """Begins to connect."""
+        """Starts connecting to the other planners."""
         for name in self._addresses:
             self._supervisor.run_restarting(f"raft_connection_{name}", partial(self._stay_connected, name))
 
     def send(self, message: raft.Message) -> None:
-        """Sends one message to the planner that it names; drops it where that one cannot be reached."""
+        """Sends a message to its receiver, or drops it if that planner cannot be reached."""
         writer = self._writers.get(planner_of(message.receiver))
         if writer is None or writer.transport.get_write_buffer_size() > MAX_BUFFERED:
             return
         try:
             writer.write(frame(messages.Message(word=raft_codec.encode(message))))
-        except WireError as fault:
-            self._warnings.warn("raft.message_not_sent", str(fault))
+        except WireError as error:
+            self._warnings.warn("raft.message_not_sent", str(error))
 
     async def _stay_connected(self, name: str) -> None:
         while True:
-            # A planner that is down is no event of its own: the others elect a leader without it.
+            # Not logged: the others elect a leader without a planner that is down.
             with contextlib.suppress(OSError, WireError, TimeoutError):
                 await self._connect(name)
             await asyncio.sleep(RECONNECT_PAUSE)
 
     async def _connect(self, name: str) -> None:
-        """Connects to a planner, and returns when the connection has ended."""
+        """Connects to a planner, and returns when the connection ends."""
         writer = None
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
@@ -84,7 +84,9 @@
             self._writers[name] = writer
             frames = FrameReader()
             while data := await reader.read(READ_SIZE):
-                frames.feed(data)  # a greeting at most: answers come on the other planner's connection
+                frames.feed(
+                    data
+                )  # a greeting at most: replies come on the connection that the other planner dialled
         finally:
             self._writers.pop(name, None)
             if writer is not None:
--- a/rushmux/planner/replicated_state.py
+++ b/rushmux/planner/replicated_state.py
@@ -1,6 +1,6 @@
-"""The state that the planners' log makes: the fleet's policy, and clients' last results.
+"""The state that the replicated log produces: the fleet's policy, and clients' last results.
 
-It is the same on every planner that has applied the same entries.
+Planners that have applied the same entries have the same state.
 """
 
 import base64
@@ -14,15 +14,15 @@
 
 
 class ReplicatedState:
-    """The state after some entry of the log.
+    """The state after an entry of the log.
 
     Attributes:
         policy: the fleet's policy.
-        index: the index of the entry that was applied last.
+        index: the index of the last applied entry.
     """
 
     def __init__(self, snapshot: raft.Snapshot):
-        """Restores the state from a snapshot; ValueError where it is damaged."""
+        """Restores the state from a snapshot; raises ValueError if it is damaged."""
         raw = {"register": "", "sessions": []}
         if snapshot.state:
             raw = orjson.loads(zlib.decompress(base64.b64decode(snapshot.state)))
@@ -31,16 +31,16 @@
         self._sessions = raft.ClientSessions([tuple(row) for row in raw["sessions"]])
 
     def serialized(self) -> bytes:
-        """The state for a snapshot, small enough for one message whatever the policies hold."""
+        """Returns the state for a snapshot, compressed to fit in one message even with large policies."""
         raw = orjson.dumps(
             {"register": self.policy.to_snapshot().decode(), "sessions": self._sessions.to_rows()}
         )
         return base64.b64encode(zlib.compress(raw))
 
     def apply(self, command: StoredCommand) -> str:
-        """Applies a committed command; its result in words.
+        """Applies a committed command and returns its result as a text for operators.
 
-        A command with an idempotency key is applied once, whatever number of entries hold it.
+        A command with an idempotency key is applied once, however many entries contain it.
         """
         origin = origin_of(command)
         if origin is None:
--- a/rushmux/planner/replication_settings.py
+++ b/rushmux/planner/replication_settings.py
@@ -1,4 +1,4 @@
-"""How a planner takes part in the replicated log, and the opening of its log's file."""
+"""A planner's settings for the replicated log, and the opening of its log file."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,20 +8,20 @@
 from rushmux.fleet import raft
 from rushmux.planner.raft_storage import RaftStorage
 
-FIRST_INCARNATION = "1"  # of each disk of a fleet that is bootstrapped
+FIRST_INCARNATION = "1"  # of every disk of a newly bootstrapped fleet
 INCARNATION_BITS = 48
 
 
 @dataclass(frozen=True)
 class ReplicationSettings:
-    """One planner's place among all planners of a fleet.
+    """One planner's settings for taking part in the replicated log.
 
     Attributes:
         name: this planner's name.
-        addresses: name -> (host, port) of all planners, this one among them.
-        log_path: the file of its log.
-        random: draws election timeouts, and the incarnation of a new disk.
-        bootstrap: whether this start founds the fleet: all planners begin with the same configuration.
+        addresses: name -> (host, port) of all planners, including this one.
+        log_path: the log file.
+        random: source of election timeouts and of a new disk's incarnation.
+        bootstrap: whether this start creates the fleet, all planners beginning with the same configuration.
     """
 
     name: str
@@ -32,11 +32,11 @@
 
 
 def open_storage(settings: ReplicationSettings) -> RaftStorage:
-    """Opens the log's file, and makes it where there is none.
+    """Opens the log file, and creates it if there is none.
 
     Raises:
-        RaftStorageError: the file cannot be used.
-        OSError: the disk fails.
+        RaftStorageError: the file is damaged, or held by another program.
+        OSError: the disk failed.
     """
     storage = RaftStorage(settings.log_path, lambda: f"{settings.random.getrandbits(INCARNATION_BITS):012x}")
     if storage.is_new and settings.bootstrap:
@@ -44,6 +44,6 @@
         members = [f"{name}/{FIRST_INCARNATION}" for name in settings.addresses]
         storage.create(raft.bootstrap(members))
     elif storage.is_new:
-        # The other planners send it the log once they have added it to their configuration.
+        # The other planners send the log once they have added this one to their configuration.
         storage.create(raft.PersistentState(0, None, raft.Snapshot(0, 0, (), b"")))
     return storage
--- a/rushmux/planner/server.py
+++ b/rushmux/planner/server.py
@@ -1,4 +1,4 @@
-"""The common part of servers on the nodes' wire: the greeting, the message loop, and an end for each peer."""
+"""Base of the servers that speak the nodes' wire protocol: greeting, message loop, end of connections."""
 
 import asyncio
 
@@ -7,18 +7,18 @@
 
 from rushmux.nodewire import VERSION, FrameReader, WireError, frame, messages
 
-READ_SIZE = 1 << 17  # bytes asked of a socket at once
+READ_SIZE = 1 << 17  # bytes per read from a socket
 MAX_CONNECTIONS = 8_192  # a thousand edges with a few connections each
-MAX_UNREAD = 8 << 20  # bytes that a peer may leave unread until its connection is aborted
-BACKLOG = 1_024  # connections that the system holds until they are accepted: all edges come at once
-HELLO_TIMEOUT = 5.0  # seconds for a peer's first message
+MAX_UNREAD = 8 << 20  # bytes waiting for a peer, above which its connection is aborted
+BACKLOG = 1_024  # connections not accepted yet; all edges may connect at once
+HELLO_TIMEOUT = 5.0  # seconds until a peer's first message
 
 
 class PeerConnection:
     """A connection that a peer opened.
 
     Attributes:
-        writer: its stream.
+        writer: the connection's stream.
         hello: the peer's greeting.
     """
 
@@ -34,13 +34,13 @@
 
     @property
     def name(self) -> str:
-        """The peer's name, as it greeted."""
+        """The peer's name in its greeting."""
         return self.hello.peer
 
     def send(self, **body) -> None:
-        """Sends one message.
+        """Sends a message.
 
-        The connection is aborted where the peer reads nothing, or where the message fits in no frame.
+        The connection is aborted if the peer does not read, or if the message is too long for a frame.
         """
         transport = self.writer.transport
         if transport.is_closing():
@@ -50,15 +50,15 @@
             return
         try:
             encoded = frame(messages.Message(**body))
-        except WireError as fault:  # raised here, it would end a step that serves other peers too
-            self._log.error("peer.message_too_long", peer=self.name, why=str(fault))
+        except WireError as error:  # not raised: that would end a step that serves other peers too
+            self._log.error("peer.message_too_long", peer=self.name, why=str(error))
             transport.abort()
             return
         self.writer.write(encoded)
 
 
 class _Client:
-    """An accepted connection: its task, and the peer once it has greeted."""
+    """An accepted connection: its task, and its peer once that has sent its greeting."""
 
     def __init__(self, task: asyncio.Task):
         self.task = task
@@ -66,12 +66,12 @@
 
 
 class PeerServer:
-    """Accepts peers and hands each of their messages to `on_message`.
+    """Accepts peers, and passes each of their messages to `on_message`.
 
     Attributes:
-        name: what the server calls itself in its greeting.
+        name: the server's name in its greeting.
         incarnation: differs at each start of the process.
-        port: where it listens, once it does.
+        port: the port that it listens on, if any.
     """
 
     def __init__(self, name: str, incarnation: str, log: structlog.typing.FilteringBoundLogger):
@@ -84,22 +84,22 @@
         self._closing = False
 
     async def listen(self, host: str, port: int) -> int:
-        """Starts to accept connections; the port."""
+        """Starts accepting connections, and returns the port."""
         self.server = await asyncio.start_server(self._serve, host, port, backlog=BACKLOG)
         self.port = self.server.sockets[0].getsockname()[1]
         return self.port
 
     def connected_peers(self) -> list[PeerConnection]:
-        """The peers that have greeted."""
+        """Returns the peers that have sent their greeting."""
         return [client.peer for client in self._clients.values() if client.peer is not None]
 
     def abort_connections(self) -> None:
-        """Breaks all connections, as a process that dies does."""
+        """Aborts all connections, as a killed process would."""
         for writer in list(self._clients):
             writer.transport.abort()
 
     async def close_server(self) -> None:
-        """Stops to accept, aborts all connections and waits for their tasks."""
+        """Stops accepting connections, aborts all existing ones and waits for their tasks."""
         self._closing = True
         if self.server is not None:
             self.server.close()
@@ -109,28 +109,28 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    # For subclasses.
+    # Hooks for subclasses.
 
     def age(self) -> int:
-        """Tenths of a millisecond since the start, as far as that matters to a peer."""
+        """Returns the age that peers are told, in tenths of a millisecond; 0 if they do not use it."""
         return 0
 
     def on_peer_connected(self, peer: PeerConnection) -> None:
-        """A peer has greeted; WireError closes its connection."""
+        """Called when a peer has sent its greeting; a WireError closes its connection."""
 
     def on_peer_disconnected(self, peer: PeerConnection) -> None:
-        """The connection of a peer that had greeted ended."""
+        """Called when the connection of a peer that had sent its greeting has ended."""
 
     def on_message(self, peer: PeerConnection, kind: str, body: Message) -> None:
-        """A message came.
+        """Handles a message.
 
         Args:
-            peer: its sender.
+            peer: the sender.
             kind: the name of the message's body.
-            body: the body.
+            body: the message's body.
 
         Raises:
-            WireError: the message is not allowed here; the connection is closed.
+            WireError: the message is not allowed; its connection is closed.
         """
         raise WireError(f"{kind} is not for this program")
 
@@ -141,16 +141,16 @@
             writer.close()
             return
         client = self._clients[writer] = _Client(asyncio.current_task())
-        reason = "left"
+        reason = "closed by the peer"
         try:
             await self._serve_client(client, reader, writer)
-        except (OSError, WireError, TimeoutError) as fault:
-            reason = str(fault) or type(fault).__name__
-        except Exception as fault:  # whatever it is: the other connections go on
-            reason = type(fault).__name__
+        except (OSError, WireError, TimeoutError) as error:
+            reason = str(error) or type(error).__name__
+        except Exception as error:  # whatever it is, the other connections go on
+            reason = type(error).__name__
             self.log.exception("peer.fault", peer=client.peer.name if client.peer is not None else "")
         except asyncio.CancelledError:
-            if not self._closing:  # `close_server` waits for this task, and nobody else is to see the error
+            if not self._closing:  # cancelled by `close_server`, which awaits it
                 raise
         finally:
             self._clients.pop(writer, None)
@@ -162,7 +162,7 @@
     async def _serve_client(
         self, client: _Client, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Greets the peer, then handles its messages until it closes the connection."""
+        """Exchanges greetings, then handles messages until the peer closes the connection."""
         frames = FrameReader()
         async with asyncio.timeout(HELLO_TIMEOUT):
             received = await self._read_messages(reader, frames)
@@ -181,7 +181,7 @@
     async def _read_messages(
         self, reader: asyncio.StreamReader, frames: FrameReader
     ) -> list[messages.Message]:
-        """Returns the next messages, at least one; none at the end of the stream."""
+        """Returns the next messages: at least one, or none at the end of the stream."""
         while data := await reader.read(READ_SIZE):
             if received := list(frames.feed(data)):
                 return received
@@ -190,7 +190,7 @@
     def _welcome(self, writer: asyncio.StreamWriter, greeting: messages.Message) -> PeerConnection:
         """Checks a peer's greeting and answers it."""
         if greeting.WhichOneof("body") != "hello" or greeting.hello.version != VERSION:
-            raise WireError("no greeting, or one of another version")
+            raise WireError("no greeting, or one of another protocol version")
         peer = PeerConnection(writer, greeting.hello, self.log)
         peer.send(
             welcome=messages.Welcome(version=VERSION, peer=self.name, start=self.incarnation, age=self.age())
--- a/rushmux/planner/stored_commands.py
+++ b/rushmux/planner/stored_commands.py
@@ -1,4 +1,4 @@
-"""The stored form of the commands that planners propose: the JSON keys and kinds of the log's entries."""
+"""The stored form of the commands in the replicated log: their kinds and JSON keys."""
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple
@@ -8,7 +8,7 @@
 StoredCommand = dict[str, Any]
 
 BOOTSTRAP_AUTHOR = "the deployment file"
-FLEET_AUTHOR = "people"  # of drains: their senders do not give their names
+FLEET_AUTHOR = "people"  # of drains, whose senders give no names
 
 
 class Origin(NamedTuple):
@@ -16,7 +16,7 @@
 
     Attributes:
         client: the sender's id.
-        sequence: the command's number; a client's later commands have higher ones.
+        sequence: the command's number, which increases with each command of the client.
         author: the operator's name.
     """
 
@@ -26,10 +26,10 @@
 
 
 class PolicyDocument(NamedTuple):
-    """A policy to be proposed.
+    """A policy to propose.
 
     Attributes:
-        text: what members apply, as JSON.
+        text: the settings that members apply, as JSON.
         limits: folder, limit and burst of each folder with a limit.
     """
 
@@ -38,7 +38,7 @@
 
 
 def bootstrap(members: Sequence[str], document: PolicyDocument) -> StoredCommand:
-    """Makes the fleet's first policy, and names the members that there may ever be."""
+    """Returns the command that creates the fleet's first policy and names all its possible members."""
     return {
         "kind": CommandKind.BOOTSTRAP.value,
         "members": list(members),
@@ -49,7 +49,7 @@
 
 
 def propose(document: PolicyDocument, base: int | None, origin: Origin) -> StoredCommand:
-    """Stages a policy, on the condition that `base` is the active one; None: on no condition."""
+    """Returns the command that stages a policy, only if version `base` is active (None: in any case)."""
     return {
         "kind": CommandKind.PROPOSE.value,
         "base": base,
@@ -60,27 +60,27 @@
 
 
 def revert(version: int, origin: Origin) -> StoredCommand:
-    """Stages a past policy anew."""
+    """Returns the command that stages a past policy again."""
     return {"kind": CommandKind.REVERT.value, "number": version, **_stored_origin(origin)}
 
 
 def withdraw(version: int, origin: Origin) -> StoredCommand:
-    """Ends the staged change."""
+    """Returns the command that ends a staged change."""
     return {"kind": CommandKind.WITHDRAW.value, "number": version, **_stored_origin(origin)}
 
 
 def forget(member: str, origin: Origin) -> StoredCommand:
-    """No change waits for a member any more."""
+    """Returns the command that lets changes proceed without a member."""
     return {"kind": CommandKind.FORGET.value, "member": member, **_stored_origin(origin)}
 
 
 def drain(node: str) -> StoredCommand:
-    """Nothing new is to go to a node."""
+    """Returns the command that stops new work from going to a node."""
     return {"kind": CommandKind.DRAIN.value, "member": node, "by": FLEET_AUTHOR}
 
 
 def undrain(node: str) -> StoredCommand:
-    """A node may be used again."""
+    """Returns the command that lets a drained node be used again."""
     return {"kind": CommandKind.UNDRAIN.value, "member": node, "by": FLEET_AUTHOR}
 
 
@@ -89,12 +89,12 @@
 
 
 def origin_of(command: StoredCommand) -> Origin | None:
-    """The origin of a stored command; None where it has no idempotency key."""
+    """Returns the origin of a stored command, or None if it has no idempotency key."""
     if "client" not in command:
         return None
     return Origin(command["client"], command["n"], command.get("by", ""))
 
 
 def is_same_change(command: StoredCommand, other: StoredCommand) -> bool:
-    """Whether two commands are of one kind and about one version of the policy."""
+    """Returns whether two commands have the same kind and policy version."""
     return (command["kind"], command.get("number")) == (other["kind"], other.get("number"))
--- a/tests/planner/test_membership_store.py
+++ b/tests/planner/test_membership_store.py
@@ -37,14 +37,14 @@
 
 def test_a_newer_format_is_rejected(path):
     change(path, "update about set value = 2 where name = 'format'")
-    with pytest.raises(MembershipStoreError, match="format 2, this planner reads 1") as fault:
+    with pytest.raises(MembershipStoreError, match="format 2, this planner reads 1") as error:
         MembershipStore(path)
-    assert fault.value.path == path and isinstance(fault.value, PlannerError)
+    assert error.value.path == path and isinstance(error.value, PlannerError)
 
 
 def test_a_file_that_is_no_store_is_rejected(tmp_path):
     (tmp_path / "b").write_bytes(b"nothing of a store" * 99)
-    with pytest.raises(MembershipStoreError, match="is no store of a planner"):
+    with pytest.raises(MembershipStoreError, match="is not a planner's membership store"):
         MembershipStore(tmp_path / "b")
 
 
--- a/tests/planner/test_planner_process.py
+++ b/tests/planner/test_planner_process.py
@@ -68,4 +68,4 @@
     assert result.exit_code == 1 and "127.0.0.1:9" in result.output and "Traceback" not in result.output
     (tmp_path / "p").write_bytes(b"not a store" * 50)
     result = CliRunner().invoke(main, ["planner", "--cells", "2", "--data", str(tmp_path / "p")])
-    assert result.exit_code == 1 and "no store of a planner" in result.output
+    assert result.exit_code == 1 and "not a planner's membership store" in result.output
--- a/tests/planner/test_quota_service.py
+++ b/tests/planner/test_quota_service.py
@@ -1,4 +1,4 @@
-"""Quota requests: answered once leadership is confirmed, and one of an edge at a time."""
+"""Quota requests: answered once leadership is confirmed, one of each edge at a time."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def confirmations():
-    """Calls that wait for a majority."""
+    """Functions waiting for a majority's confirmation."""
     return []
 
 
@@ -60,13 +60,13 @@
         [messages.Want(folder="caribe", part=float("nan"))],
         [messages.Want(folder=f"f{number}", part=1.0) for number in range(MAX_WANTED_FOLDERS + 1)],
     ],
-    ids=["negative", "too large", "no number", "too many"],
+    ids=["negative", "too large", "not a number", "too many"],
 )
 def test_an_invalid_request_is_rejected_and_granted_nothing(service, confirmations, wants):
     edge = Edge()
-    with pytest.raises(WireError, match="makes no sense"):
+    with pytest.raises(WireError, match="invalid quota request"):
         service.on_request(edge, request(1, *wants), lambda: 1.0)
-    assert not confirmations and not edge.grants  # nothing of it enters a step that serves others
+    assert not confirmations and not edge.grants  # rejected before a step that serves others
     service.on_request(edge, request(2), lambda: 1.0)
     confirmations.pop()()
     assert [grant.ask for grant in edge.grants] == [2]
--- a/tests/planner/test_raft_storage.py
+++ b/tests/planner/test_raft_storage.py
@@ -100,9 +100,9 @@
     "damage, message",
     [
         (with_damaged_entry, "damaged at byte"),
-        (of_another_program, "is no log"),
+        (of_another_program, "is not a planner's log"),
         (of_a_newer_format, "format 2, this program reads 1"),
-        (with_an_unknown_record, "no planner wrote"),
+        (with_an_unknown_record, "invalid content: unknown record kind"),
     ],
 )
 def test_a_log_that_cannot_be_used_is_rejected_with_its_path(path, damage, message):
@@ -111,9 +111,9 @@
         storage.write(raft.Ready(entries=((index, entry(1, f"entry {index}")),)))
     storage.release()
     path.write_bytes(damage(path.read_bytes()))
-    with pytest.raises(RaftStorageError, match=message) as fault:
+    with pytest.raises(RaftStorageError, match=message) as error:
         reopened(path)
-    assert fault.value.path == path
+    assert error.value.path == path
 
 
 def test_one_program_holds_the_log_at_a_time(path):
