--- a/rushmux/planner/planner.py
+++ b/rushmux/planner/planner.py
@@ -1,8 +1,8 @@
-"""The planner's server: takes connections of nodes, edges, planners and operators, and connects the parts.
+"""The planner's server: accepts nodes, edges, planners and operators, and connects the planner's parts.
 
-Members are judged by `fleet.membership`, quotas by `fleet.quotas`; `endpoint_publisher` stores the endpoint
-list and sends it to the edges, `replicated_log` shares the policy with the other planners.  Edges go on with
-their last list while no planner leads.
+`fleet.membership` decides about members and `fleet.quotas` about quotas.  `endpoint_publisher` stores the
+endpoint list and sends it to the edges; `replicated_log` shares the policy with the other planners.  Edges
+keep using their last list while no planner leads.
 """
 
 import asyncio
@@ -28,27 +28,27 @@
 from rushmux.settings.deployment import Deployment
 from rushmux.supervision import Supervisor
 
-TICK_INTERVAL = 0.5  # seconds between two checks of all members' leases
-MAX_ADMIN_COMMANDS = 100  # that wait for an answer
-FOR_EDGES = ("ask", "policy_ask")  # messages that only an edge may send
+TICK_INTERVAL = 0.5  # seconds between checks of all members' leases
+MAX_ADMIN_COMMANDS = 100  # waiting for an answer
+EDGE_ONLY_MESSAGES = ("ask", "policy_ask")  # only an edge may send them
 
 
 def ignore_record(kind: str, **fields) -> None:
-    """Records nothing."""
+    """Discards a record."""
 
 
 class Planner(PeerServer):
     """One planner.
 
     Args:
-        cells: shards that the fleet's data is spread over.
-        store: what it knows, on its disk.
+        cells: the number of shards of the fleet's data.
+        store: the planner's stored membership.
         log: the logger.
-        record: called with what is sent out, for checkers of recorded histories.
+        record: called with what is published or committed, for checkers of recorded histories.
         limited_folders: names of the folders that have limits.
-        gateway_count: edges that there may ever be.
-        deployment: the deployment whose policy is the fleet's first; None: the fleet has no policy.
-        replication: the planners that decide in common; None: this one decides alone, on its store.
+        gateway_count: the maximum number of edges.
+        deployment: its policy becomes the fleet's first one; None: the fleet has no policy.
+        replication: the planners that decide together; None: this one decides alone, with its own store.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self._handlers, self._leader_handlers = self._message_handlers()
 
     def _message_handlers(self) -> tuple[dict[str, Callable], dict[str, Callable]]:
-        """Handlers by message: those of any planner, and those of the one that leads."""
+        """Returns handlers by message: those of every planner, and those of the leader."""
         always = {"policy_order": self._on_policy_command}
         leading = {"report": self._on_report, "ask": self._on_quota_request}
         if self._replication is None:
@@ -95,13 +95,13 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether it decides: it leads the planners, or is alone."""
+        """Whether this planner leads the others, or is the only one."""
         return self.replicated_log is None or self.replicated_log.is_leader
 
-    # Start and end.
+    # Lifecycle.
 
     async def open(self, host: str, port: int) -> int:
-        """Starts to serve; the port.
+        """Starts serving, and returns the port.
 
         Raises:
             RaftStorageError: the stored log cannot be used.
@@ -125,7 +125,7 @@
         return self.port
 
     async def close(self) -> None:
-        """Ends; what is not answered stays so."""
+        """Stops serving; pending requests are not answered."""
         self.supervisor.cancel()
         if self.replicated_log is not None:
             self.replicated_log.close()
@@ -136,7 +136,7 @@
         self.store.close()
 
     def _bootstrap_command(self) -> StoredCommand | None:
-        """The command that makes the fleet's first policy; None where it is to have none."""
+        """Returns the command that creates the fleet's first policy, or None if it is to have none."""
         if self._deployment is None or not self._deployment.policy:
             return None
         return policy_admin.bootstrap_command(self._deployment)
@@ -144,7 +144,7 @@
     # Leadership.
 
     def _on_leadership(self, leads: bool) -> None:
-        """Its leadership begins or ends: members connect anew, since what it knew before is old."""
+        """Handles the start or end of leadership; members reconnect, because their known state is outdated."""
         for peer in self.connected_peers():
             if not peer_names.is_planner(peer.name) and not peer.name.startswith(peer_names.OPERATOR):
                 peer.writer.transport.abort()
@@ -153,16 +153,16 @@
             self._begin_term(self.replicated_log.term)
 
     def _confirm_leadership(self, call: Callable[[], None]) -> None:
-        """Calls a function once it is sure that this planner leads."""
+        """Calls a function once it is certain that this planner leads."""
         if self.replicated_log is None:
             call()
         else:
             self.replicated_log.confirm_leadership(call)
 
     def _begin_term(self, term: int) -> None:
-        """Starts anew with what the store holds.
+        """Restores the state for a new term from the store.
 
-        With several planners the drains are those that they committed: this planner's store may be old.
+        With several planners, the drains are those in their log, since this planner's store may be outdated.
         """
         now = self.loop.time()
         stored = self.store.load()
@@ -188,7 +188,7 @@
     # Connections.
 
     def on_peer_connected(self, peer: PeerConnection) -> None:
-        """Subscribes an edge to the endpoint list; a planner that does not lead accepts no members."""
+        """Subscribes an edge to the endpoint list; a planner that does not lead rejects members."""
         if peer_names.is_planner(peer.name) and self.replicated_log is not None:
             self.replicated_log.on_planner_connected(peer_names.planner_member_id(peer.name))
         elif not self.is_leader and peer.name != peer_names.OPERATOR:
@@ -197,16 +197,16 @@
             self._members.on_edge_connected(peer)
 
     def on_peer_disconnected(self, peer: PeerConnection) -> None:
-        """A member whose last connection ended is given a short time to connect again."""
+        """Gives a member whose last connection ended a short time to reconnect."""
         self._members.on_disconnected(peer)
 
     def on_message(self, peer: PeerConnection, kind: str, body: Message) -> None:
-        """Hands a message to its handler."""
+        """Passes a message to its handler."""
         handler = self._handlers.get(kind)
         if handler is None and not self.is_leader:
             raise WireError("this planner does not lead")
         handler = handler or self._leader_handlers.get(kind)
-        if handler is None or (kind in FOR_EDGES and peer not in self.publisher.subscribers):
+        if handler is None or (kind in EDGE_ONLY_MESSAGES and peer not in self.publisher.subscribers):
             raise WireError(f"{kind} is not for a planner")
         handler(peer, body)
 
@@ -217,7 +217,7 @@
         self._send_floor(peer)
 
     def _send_floor(self, peer: PeerConnection) -> None:
-        """Tells a node which policies' operations it is to reject."""
+        """Tells a node the fencing floor, below which it rejects operations."""
         if self.replicated_log is None or self._floor is None:
             return
         floor = self._floor.floor_to_send(self.replicated_log.policy.fencing_floor, self.loop.time())
@@ -232,11 +232,11 @@
 
     def _on_raft_message(self, peer: PeerConnection, message: messages.Word) -> None:
         if not self._is_own_message(peer, message):
-            raise WireError(f"{peer.name} sends a word of {message.sender}")
+            raise WireError(f"{peer.name} sent a Raft message of {message.sender}")
         self.replicated_log.on_message(message)
 
     def _is_own_message(self, peer: PeerConnection, message: messages.Word) -> bool:
-        """Whether a Raft message comes from a planner of this fleet, and in no other one's name."""
+        """Returns whether a Raft message comes from a planner of this fleet, in its own name."""
         sender = peer_names.planner_member_id(peer.name)
         return (
             peer_names.is_planner(peer.name)
@@ -264,9 +264,9 @@
         self._start_admin_task(answer)
 
     def _start_admin_task(self, answer: Callable[[], Coroutine]) -> None:
-        """Answers an operator when the answer is known; only so many may wait."""
+        """Answers an operator in a separate task; the number of such tasks is limited."""
         if len(self._admin_tasks) >= MAX_ADMIN_COMMANDS:
-            raise WireError(f"{MAX_ADMIN_COMMANDS} orders wait")
+            raise WireError(f"{MAX_ADMIN_COMMANDS} commands are already waiting")
         task = self.loop.create_task(answer())
         self._admin_tasks.add(task)
         task.add_done_callback(self._admin_tasks.discard)
--- a/rushmux/planner/raft_storage.py
+++ b/rushmux/planner/raft_storage.py
@@ -119,8 +119,8 @@
         if found.damaged:
             raise RaftStorageError(
                 self.path,
-                f"damaged at byte {found.end}, with intact records after it: acknowledged votes or entries may "
-                f"be lost.  Move the file away and restart this planner: it will join as a new member",
+                f"damaged at byte {found.end}, with intact records after it: acknowledged votes or entries "
+                f"may be lost.  Move the file away and restart this planner: it will join as a new member",
             )
         try:
             self.persistent = self._replay(found.bodies)
--- a/rushmux/planner/replicated_log.py
+++ b/rushmux/planner/replicated_log.py
@@ -1,8 +1,8 @@
-"""Drives this planner's part of the replicated log: steps the Raft node, persists, sends and applies.
+"""Drives this planner's Raft node: persists, sends and applies what the node hands out.
 
-`fleet.raft` decides what is committed, `fleet.policy` what committed commands make.  A planner whose disk
-takes nothing is silent until it does: it neither votes nor answers.  One whose disk was lost comes back as a
-new member (`member_replacement`).
+`fleet.raft` decides what is committed, and `fleet.policy` what committed commands do.  A planner whose disk
+fails neither votes nor answers until the disk works again.  One whose disk was lost comes back as a new
+member (`member_replacement`).
 """
 
 import asyncio
@@ -32,12 +32,12 @@
 from rushmux.planner.stored_commands import StoredCommand
 from rushmux.supervision import Supervisor
 
-TICK_INTERVAL = 0.1  # seconds between two ticks of the Raft node
-COMPACTION_THRESHOLD = 200  # entries beyond which the log is compacted
-MAX_ENTRY_BYTES = 512 << 10  # of a command: with its envelope it fits in a frame
-UNREADABLE = (AttributeError, IndexError, KeyError, OverflowError, TypeError, ValueError)
-"""What a command raises whose fields are not those of its kind."""
-STORAGE_RETRY_INTERVAL = 1.0  # seconds until a disk that took nothing is tried again
+TICK_INTERVAL = 0.1  # seconds between ticks of the Raft node
+COMPACTION_THRESHOLD = 200  # entries above which the log is compacted
+MAX_ENTRY_BYTES = 512 << 10  # of a command, so that it fits in a frame with its envelope
+UNREADABLE_COMMAND_ERRORS = (AttributeError, IndexError, KeyError, OverflowError, TypeError, ValueError)
+"""Raised by a command whose fields do not match its kind."""
+STORAGE_RETRY_INTERVAL = 1.0  # seconds until a failed disk is tried again
 
 
 class ReplicatedLog:
@@ -46,15 +46,16 @@
     Args:
         settings: the planners, and where the log is stored.
         log: the logger.
-        on_leadership: called with True when this planner's leadership begins, with False when it ends.
-        bootstrap_command: gives the command that makes the fleet's first policy, or None.
-        record: called with what is committed, for checkers of recorded histories.
+        on_leadership: called with True when this planner's leadership begins, and with False when it ends.
+        bootstrap_command: returns the command that creates the fleet's first policy, or None.
+        record: called with committed commands and changes of leadership, for checkers of recorded histories.
         supervisor: runs its tasks.
 
     Attributes:
-        storage: the log on the disk.
+        storage: the log on disk.
         node: the Raft node.
-        storage_failed_at: since when the disk takes nothing, in seconds of the loop's clock; None: it works.
+        storage_failed_at: when the disk last failed or was retried, in seconds of the event loop's clock;
+            None: it works.
 
     Raises:
         RaftStorageError: the stored log cannot be used.
@@ -85,12 +86,12 @@
         self._transport = RaftTransport(self.member_id, others, self._warnings, supervisor)
         self._replacement = MemberReplacement(settings.addresses, log, self._warnings)
         self._proposals = PendingProposals()
-        self._leading_term = 0  # 0: it does not lead
+        self._leading_term = 0  # 0 while not leading
         self._policy_leader: PolicyLeader | None = None
         self._start_node()
 
     def _start_node(self) -> None:
-        """Begins with the log as the disk has it."""
+        """Creates the Raft node from the log on disk."""
         persistent = self.storage.persistent
         self.node = raft.RaftNode(
             self.member_id, persistent, self._loop.time(), self._settings.random.randrange
@@ -98,26 +99,27 @@
         self._state = ReplicatedState(persistent.snapshot)
 
     def start(self) -> None:
-        """Begins to tick, and to connect to the other planners."""
+        """Starts ticking, and connecting to the other planners."""
         self._transport.start()
-        # A step that failed half way may have left the node unlike its disk: the program begins anew from it.
+        # Essential: a step that fails halfway may leave the node inconsistent with its disk, so the program
+        # must restart from the disk.
         self._supervisor.run_essential("raft_ticks", self._run_ticks)
 
     def close(self) -> None:
-        """Ends: proposals that wait fail, and another program may have the log's file."""
+        """Fails pending proposals and releases the log file."""
         self._proposals.fail_all("this planner ends")
         self.storage.release()
 
-    # What it knows.
+    # State.
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads, and a majority has confirmed that since its election."""
+        """Whether this planner leads, and a majority has confirmed that since its election."""
         return self.storage_failed_at is None and self.node.confirmed_round > 0
 
     @property
     def leader(self) -> str | None:
-        """The member id of the leader, where it is known."""
+        """The leader's member id, if known."""
         return self.node.leader
 
     @property
@@ -132,24 +134,24 @@
 
     @property
     def applied_index(self) -> int:
-        """The index of the entry that was applied last."""
+        """The index of the last applied entry."""
         return self._state.index
 
     @property
     def policy(self) -> PolicyStateMachine:
-        """The fleet's policy, as the entries that were applied made it."""
+        """The fleet's policy after the last applied entry."""
         return self._state.policy
 
     @property
     def coordinator(self) -> RolloutCoordinator | None:
-        """The rollout of changes; None while this planner does not lead."""
+        """The coordinator of rollouts; None while this planner does not lead."""
         return self._policy_leader.coordinator if self._policy_leader is not None else None
 
     def time(self) -> float:
-        """Seconds of the clock that leases are counted by."""
+        """Returns the time of the clock for leases, in seconds."""
         return self._loop.time()
 
-    # Steps.
+    # Steps of the Raft node.
 
     async def _run_ticks(self) -> None:
         while True:
@@ -162,7 +164,7 @@
             await asyncio.sleep(TICK_INTERVAL)
 
     def _process_ready(self) -> None:
-        """Does what the Raft node hands out: persists, sends, applies."""
+        """Persists, sends and applies what the Raft node hands out."""
         while self.storage_failed_at is None and (ready := self.node.ready()) is not None:
             if not self._persist(ready):
                 break
@@ -177,20 +179,20 @@
         self._update_leadership()
 
     def _persist(self, ready: raft.Ready) -> bool:
-        """Writes to the disk; whether that took it.  Until it has, nothing of it may be sent."""
+        """Writes to disk, and returns whether that succeeded; before that, nothing of `ready` may be sent."""
         try:
             self.storage.write(ready)
-        except OSError as fault:
-            self._log.error("raft.storage_failed", why=str(fault))
+        except OSError as error:
+            self._log.error("raft.storage_failed", why=str(error))
             self.storage_failed_at = self._loop.time()
             self._proposals.fail_all("its disk takes nothing")
             return False
         return True
 
     def _recover_storage(self) -> None:
-        """Tries a disk again that took nothing.
+        """Tries a failed disk again.
 
-        What it took in part must be known before the node goes on, so the log is read anew.
+        The log is read again, because a failed write may have stored a part of its data.
         """
         if self._loop.time() - self.storage_failed_at < STORAGE_RETRY_INTERVAL:
             return
@@ -198,8 +200,8 @@
         try:
             self.storage.load()
             self.storage.rewrite()
-        except (OSError, RaftStorageError) as fault:
-            self._log.error("raft.storage_failed", why=str(fault))
+        except (OSError, RaftStorageError) as error:
+            self._log.error("raft.storage_failed", why=str(error))
             return
         self.storage_failed_at = None
         self._start_node()
@@ -213,13 +215,13 @@
         self._proposals.resolve(index, entry.term, result)
 
     def _apply_command(self, index: int, body: bytes) -> str:
-        """Applies a committed command; one that cannot be read changes nothing, here as at all planners."""
+        """Applies a committed command; one that cannot be read changes nothing, at any planner."""
         try:
             command = orjson.loads(body)
             kind = command["kind"]
             result = self._state.apply(command)
-        except UNREADABLE as fault:
-            self._log.error("raft.command_unreadable", index=index, why=repr(fault))
+        except UNREADABLE_COMMAND_ERRORS as error:
+            self._log.error("raft.command_unreadable", index=index, why=repr(error))
             return "refused: the entry cannot be read"
         self._log.info("raft.command_applied", index=index, kind=kind, said=result)
         self._record_command(index, command, result)
@@ -239,13 +241,13 @@
         )
 
     def _compact(self) -> None:
-        """Replaces applied entries by a snapshot once there are many."""
+        """Replaces applied entries by a snapshot once there are enough of them."""
         applied = self.node.last_applied - self.node.snapshot.index
         if len(self.node.log) > COMPACTION_THRESHOLD and applied > COMPACTION_THRESHOLD // 2:
             self.node.compact(self.node.last_applied, self._state.serialized())
 
     def on_message(self, body: messages.Word) -> None:
-        """A Raft message came from another planner."""
+        """Handles another planner's Raft message."""
         if self.storage_failed_at is not None:
             return
         self.node.receive(self._loop.time(), raft_codec.decode(body))
@@ -254,7 +256,7 @@
     # Leadership.
 
     def _update_leadership(self) -> None:
-        """Begins and ends this planner's leadership, and does a leader's work."""
+        """Begins or ends this planner's leadership, and does the leader's work."""
         term = self.node.term if self.is_leader else 0
         if term != self._leading_term:
             self._change_leadership(term)
@@ -285,14 +287,14 @@
             return
         try:
             self._submit(command)
-        except ProposalRejectedError as fault:
+        except ProposalRejectedError as error:
             self._policy_leader.coordinator.on_command_rejected()
-            self._warnings.warn("raft.proposal_rejected", str(fault))
+            self._warnings.warn("raft.proposal_rejected", str(error))
 
     # Proposals.
 
     async def propose(self, command: StoredCommand) -> str:
-        """Has a command committed and applied; its result.
+        """Proposes a command, and returns its result once it is committed and applied.
 
         Raises:
             NotLeaderError: another planner leads.
@@ -304,41 +306,41 @@
         try:
             async with asyncio.timeout(PROPOSAL_TIMEOUT):
                 return await self._submit(command)
-        except TimeoutError as fault:
+        except TimeoutError as error:
             raise ProposalUndecidedError(
                 f"not decided within {PROPOSAL_TIMEOUT:g} s; it may still be: look before you ask again "
                 f"with other words"
-            ) from fault
+            ) from error
 
     def _submit(self, command: StoredCommand) -> asyncio.Future:
-        """Appends a command to the log; a future of its result."""
+        """Appends a command to the log, and returns a future of its result."""
         if self._proposals.is_full:
             raise ProposalRejectedError(f"{MAX_PROPOSALS} orders wait to be decided")
         body = orjson.dumps(command)
-        if len(body) > MAX_ENTRY_BYTES:  # it would fit in no frame, and nothing behind it could be committed
+        if len(body) > MAX_ENTRY_BYTES:  # too long for a frame: it would block the entries after it
             raise ProposalRejectedError(f"an order of {len(body)} bytes; {MAX_ENTRY_BYTES} is the most")
         try:
             index, term = self.node.propose(self._loop.time(), body)
-        except raft.ProposalRejectedError as fault:
-            raise ProposalRejectedError(str(fault)) from fault
+        except raft.ProposalRejectedError as error:
+            raise ProposalRejectedError(str(error)) from error
         result = self._proposals.add(index, term, command)
         self._loop.call_soon(self._process_ready)
         return result
 
     def confirm_leadership(self, call: Callable[[], None]) -> None:
-        """Calls a function once a majority has confirmed, after this, that this planner leads."""
+        """Calls a function once a majority has confirmed, after this call, that this planner leads."""
         if self.is_leader and self._policy_leader is not None:
             self._policy_leader.confirm_leadership(self.node.round, call)
 
     # Members of the policy, and other planners.
 
     def on_lease_request(self, peer: PeerConnection, request: messages.PolicyAsk) -> None:
-        """A member requests a lease; WireError where it does so in another's name."""
+        """Handles a lease request; raises WireError if it names another member."""
         if self.is_leader and self._policy_leader is not None:
             self._policy_leader.on_lease_request(peer, request, self._loop.time(), self.node.round)
 
     def on_planner_connected(self, member_id: str) -> None:
-        """Another planner connected."""
+        """Called when another planner has connected."""
         self._replacement.on_planner_connected(member_id, self.node.members)
 
     def _replace_members(self) -> None:
