--- a/rushmux/planner/planner.py
+++ b/rushmux/planner/planner.py
@@ -144,7 +144,7 @@
     # Leadership.
 
     def _on_leadership(self, leads: bool) -> None:
-        """Handles the start or end of leadership; members reconnect, because their known state is outdated."""
+        """Handles the start or end of leadership; members reconnect, as their known state is outdated."""
         for peer in self.connected_peers():
             if not peer_names.is_planner(peer.name) and not peer.name.startswith(peer_names.OPERATOR):
                 peer.writer.transport.abort()
