--- a/rushmux/edge/edge.py
+++ b/rushmux/edge/edge.py
@@ -17,7 +17,7 @@
 from rushmux.edge.quota_client import QuotaClient
 from rushmux.edge.session import Session
 from rushmux.nodewire import VERSION, messages
-from rushmux.routes.reload import MAX_NAMED, compare
+from rushmux.routes.reload import MAX_LISTED_ITEMS, compare
 from rushmux.scheduling.scheduler import Scheduler
 from rushmux.settings.deployment import Deployment, DeploymentError
 from rushmux.supervision import Supervisor
@@ -111,8 +111,8 @@
     def _make_driver(self, hello: messages.Hello) -> None:
         self.connections = NodeConnections(
             hello,
-            connect_timeout=self.deployment.dial,
-            connections_per_node=self.deployment.links,
+            connect_timeout=self.deployment.connect_timeout,
+            connections_per_node=self.deployment.connections_per_node,
             rng=self.rng,
             log=self.log,
         )
@@ -141,7 +141,7 @@
             self.buffer = self.make_buffer(self.driver, self.file_system, self.log)
 
     def _start_tasks(self, stored: StoredPolicies) -> None:
-        if self.deployment.shares:
+        if self.deployment.planner_quotas:
             self.quota_client = QuotaClient(self.driver, self.planner_client, self.log)
         runs = {"planner_client": self.planner_client.run, "garbage_collector": self.garbage_collector.run}
         if self.quota_client is not None:
@@ -178,9 +178,9 @@
             return self._reject_reload([f"{place}: {text}" for place, text in error.faults])
         verdict = compare(self.deployment, deployment)
         if not verdict.accepted:
-            return self._reject_reload(list(verdict.obstacles))
+            return self._reject_reload(list(verdict.rejection_reasons))
         self.take_over(deployment)
-        changed = list(verdict.changed[:MAX_NAMED])
+        changed = list(verdict.changed[:MAX_LISTED_ITEMS])
         self.log.info("routes.reloaded", changed=changed, count=len(verdict.changed))
         return True
 
@@ -196,7 +196,7 @@
     # Sessions.
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.closing or len(self.sessions) >= self.deployment.sessions.most:
+        if self.closing or len(self.sessions) >= self.deployment.sessions.max_sessions:
             self.log.warning("session.rejected", sessions=len(self.sessions))
             writer.close()
             return
@@ -214,7 +214,7 @@
         self.closing = True
         self.server.close()
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + self.deployment.sessions.patience
+        deadline = loop.time() + self.deployment.sessions.request_timeout
         while any(session.tasks for session in self.sessions) and loop.time() < deadline:
             await asyncio.sleep(LINGER / 4)
         if self.buffer is not None:
--- a/rushmux/settings/policy.py
+++ b/rushmux/settings/policy.py
@@ -7,14 +7,14 @@
 import copy
 import json
 
-from rushmux.routes.reload import differences, name_first
+from rushmux.routes.reload import abbreviate, differing_places
 from rushmux.settings.deployment import Deployment, DeploymentError, build
 
 DECIDES = ("lanes", "roles", "plans", "folders", "fleet", "routes", "bounds", "buffer")
 LIVE = ("limit", "burst")  # of a plan: what the scheduler takes over by its shares of limits
 
 
-def text(raw: dict) -> str:
+def serialize(raw: dict) -> str:
     """The policy in a file's content."""
     return json.dumps(
         {name: raw[name] for name in DECIDES if name in raw},
@@ -24,7 +24,7 @@
     )
 
 
-def rows(deployment: Deployment) -> list[tuple[str, float, float]]:
+def limit_rows(deployment: Deployment) -> list[tuple[str, float, float]]:
     """(folder, limit, burst) of each folder that has a limit, in the order of their names."""
     plans = deployment.settings.plans
     return [
@@ -34,7 +34,7 @@
     ]
 
 
-def merged(own: Deployment, policy: str, source: str) -> Deployment:
+def merge(own: Deployment, policy: str, source: str) -> Deployment:
     """The deployment of an own file under a policy, proved; DeploymentError with all that is wrong."""
     try:
         decided = json.loads(policy)
@@ -52,17 +52,17 @@
     return build({**copy.deepcopy(raw), **decided}, source)
 
 
-def against(now: Deployment, proposed: Deployment) -> list[str]:
+def restart_obstacles(now: Deployment, proposed: Deployment) -> list[str]:
     """What keeps a policy from being taken over without a start.
 
     That is all that differs but routes, and limits and bursts of plans that keep one.
     """
     found = []
-    for place in differences(now.raw, proposed.raw):
+    for place in differing_places(now.raw, proposed.raw):
         match place.split("/"):
             case ["", "plans", plan, field] if field in LIVE:
                 values = [made.raw["plans"].get(plan, {}).get(field) for made in (now, proposed)]
                 if all(values):
                     continue
         found.append(f"{place}: changes only with a start")
-    return list(name_first(found))
+    return list(abbreviate(found))
