--- a/tests/planner/test_admin_client.py
+++ b/tests/planner/test_admin_client.py
@@ -1,4 +1,4 @@
-"""The admin client: a rejection is final, and a planner that does not know is followed by the next."""
+"""The admin client: a rejection is final; if a planner does not know the outcome, the next one is asked."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 class StubPlanner(PeerServer):
-    """Gives one answer to each command; None: closes the connection."""
+    """Gives the same answer to each command, or closes the connection if the answer is None."""
 
     def __init__(self, answer):
         super().__init__("planner", "1", log.to_list([]))
@@ -28,15 +28,15 @@
 
 
 def send(*answers, single=False):
-    """What a command comes to at planners that give these answers, and how often each received it."""
+    """Returns a command's result at planners with these answers, and how often each received it."""
 
     async def main(loop):
         planners = [StubPlanner(answer) for answer in answers]
         addresses = [(HOST, await planner.listen(HOST, 0)) for planner in planners]
         try:
             result = await admin_client.send_fleet_command(addresses[0] if single else addresses, "show")
-        except CommandRejectedError as fault:
-            result = fault
+        except CommandRejectedError as error:
+            result = error
         for planner in planners:
             await planner.close_server()
         return result, [planner.received for planner in planners]
--- a/tests/planner/test_fault_injection.py
+++ b/tests/planner/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Fault scenarios between real processes, and their checker.  All of them: `rushmux rig --all`."""
+"""Fault scenarios with real processes, and their checker.  `rushmux rig --all` runs all scenarios."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 from rushmux.standins.fault_proxy import HOST, FaultProxies
 from rushmux.standins.policy_history_checker import ActivePolicy, check_answers, check_operations
 
-# Those with most faults; some twenty more are run by hand.
+# Those with the most faults; about twenty more are run by hand.
 SCENARIOS = (
     "leader-at-stage",
     "leader-at-decision",
@@ -35,12 +35,12 @@
     assert {result.scenario: result.breaches for result in results if result.breaches} == {}
     for result in results:
         assert result.facts["answers"] > 100, result
-    # The limit is asked for and used, or its rule was not tried.
+    # The limits were used; otherwise their rule was not tested.
     assert max(count for result in results for name, count in result.facts.items() if "used" in name) > 40
 
 
-def test_a_line_that_is_no_step_is_rejected():
-    for text, wrong in (
+def test_an_invalid_line_of_a_scenario_is_rejected():
+    for text, message in (
         ("at 2 explode leader", "no verb 'explode'"),
         ("wibble", "no line of this form"),
         ("at soon kill leader", "could not convert"),
@@ -48,7 +48,7 @@
         ("expect down", "no line of this form"),
         ("on propose", "out of range"),
     ):
-        with pytest.raises(fault_scenario.ScenarioError, match=wrong):
+        with pytest.raises(fault_scenario.ScenarioError, match=message):
             fault_scenario.parse(text)
     result = CliRunner().invoke(main, ["rig", "no-such-story"])
     assert result.exit_code == 1 and "cannot be read" in result.output and "Traceback" not in result.output
@@ -67,29 +67,29 @@
     }
 
 
-def test_the_checker_finds_what_must_never_happen():
-    force = {1: ActivePolicy(0.0, {"a": (10.0, 20.0)}), 2: ActivePolicy(10.0, {"a": (2.0, 4.0)})}
-    assert check_operations([execution(1.0, 1), execution(1.1, 1, "e.1.2/s")], force, Counter()) == []
-    assert "not decided" in check_operations([execution(5.0, 2)], force, Counter())[0]
-    assert "not decided" in check_operations([execution(5.0, 9)], force, Counter())[0]
-    apart = [execution(11.0, 1), execution(11.1, 2, count=1)]
-    assert "under 1 and 2" in check_operations(apart, force, Counter())[0]
-    many = [execution(11.0 + place / 100, 2, f"e.1.{place}/s", units=1.0) for place in range(8)]
-    assert "units at once under 2" in check_operations(many, force, Counter())[0]
-    turned = [{"kind": "fenced", "op": row["op"], "execution": 0} for row in many]
-    assert check_operations(many + turned, force, Counter()) == []
-    people = [{"word": "down", "verb": "propose", "said": "2 is staged", "number": 2}]
-    assert check_answers(people, {2: "decided"}, [("down", "decided"), ("force", "2")], 2) == []
-    assert check_answers(people, {2: "ended"}, [("down", "decided")], 1) and check_answers(
-        people, {}, [("force", "2")], 1
+def test_the_checker_finds_violations():
+    policies = {1: ActivePolicy(0.0, {"a": (10.0, 20.0)}), 2: ActivePolicy(10.0, {"a": (2.0, 4.0)})}
+    assert check_operations([execution(1.0, 1), execution(1.1, 1, "e.1.2/s")], policies, Counter()) == []
+    assert "not decided" in check_operations([execution(5.0, 2)], policies, Counter())[0]
+    assert "not decided" in check_operations([execution(5.0, 9)], policies, Counter())[0]
+    under_two_policies = [execution(11.0, 1), execution(11.1, 2, count=1)]
+    assert "under 1 and 2" in check_operations(under_two_policies, policies, Counter())[0]
+    above_limit = [execution(11.0 + index / 100, 2, f"e.1.{index}/s", units=1.0) for index in range(8)]
+    assert "units at once under 2" in check_operations(above_limit, policies, Counter())[0]
+    fenced = [{"kind": "fenced", "op": row["op"], "execution": 0} for row in above_limit]
+    assert check_operations(above_limit + fenced, policies, Counter()) == []
+    commands = [{"word": "down", "verb": "propose", "said": "2 is staged", "number": 2}]
+    assert check_answers(commands, {2: "decided"}, [("down", "decided"), ("force", "2")], 2) == []
+    assert check_answers(commands, {2: "ended"}, [("down", "decided")], 1) and check_answers(
+        commands, {}, [("force", "2")], 1
     )
-    assert check_answers(people, {}, [("up", "decided")], 1)
+    assert check_answers(commands, {}, [("up", "decided")], 1)
     refused = [{"word": "down", "verb": "propose", "said": "refused: x", "number": 2}]
     assert "told refused" in check_answers(refused, {2: "decided"}, [], 2)[0]
 
 
 def test_a_proxy_holds_data_back_while_cut_and_delivers_it_when_healed():
-    async def play():
+    async def main():
         async def echo(reader, writer):
             while data := await reader.read(100):
                 writer.write(data)
@@ -115,4 +115,4 @@
         await proxies.close()
         server.close()
 
-    asyncio.run(play())
+    asyncio.run(main())
--- a/tests/planner/test_hostile_messages.py
+++ b/tests/planner/test_hostile_messages.py
@@ -1,8 +1,8 @@
-"""Hostile messages on some connections change nothing for the others of a fleet with three planners.
+"""Hostile messages on some connections do not affect the other connections of a fleet with three planners.
 
-What was seen: a quota request was checked inside a step of the replicated log, so its error ended the task of
-the planner's ticks and the planner led no more.  The same held for an error met while a grant was sent, for a
-node's age that overflowed in the list of all nodes, and for an entry that was too long to be replicated.
+An error in a step of the replicated log ended the planner's ticks, and so its leadership.  Causes were an
+invalid quota request checked within the step, a failure to send a grant, a node's age that overflowed in the
+endpoint list, and an entry that was too long to be replicated.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
     "ask",
     "policy_ask",
 )
-OWN_PEERS = ("planner planner", "edge0", "edge1", "node0", "node1")  # how the fleet's own names begin
+OWN_PEERS = ("planner planner", "edge0", "edge1", "node0", "node1")  # prefixes of the fleet's peer names
 
 
 def raw_deployment():
@@ -62,7 +62,7 @@
 
 
 async def send(address, data):
-    """Sends bytes on a connection of its own, and reads until it ends or two seconds have passed."""
+    """Sends bytes on a new connection, and reads until it ends or two seconds have passed."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(data)
     try:
@@ -75,7 +75,7 @@
 
 
 async def assert_serves(fleet, name):
-    """The leader leads on, decides a change of the policy, the edges hear of it, and no connection ended."""
+    """Asserts that the leader still leads, that a policy change reaches all, and that no connection ended."""
     assert leader(fleet) == name
     assert [
         row for row in fleet.logs if row["event"] == "peer.disconnected" and row["peer"].startswith(OWN_PEERS)
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_drawn_messages_reach_nobody_but_their_sender(run_fleet, seed):
+def test_random_messages_affect_only_their_sender(run_fleet, seed):
     async def scenario(fleet):
         name, rng = leader(fleet), random.Random(seed)
         for _ in range(SESSIONS):
@@ -110,8 +110,8 @@
     return frame(messages.Message(hello=messages.Hello(version=VERSION, peer=peer, start="1")))
 
 
-def test_a_node_of_an_impossible_age_is_refused(run_fleet):
-    """`entry.age` of the listing to all edges overflowed: no edge was notified of anything any more."""
+def test_a_node_with_an_impossible_age_is_rejected(run_fleet):
+    """The age overflowed in the listing to all edges, so that no edge was notified of anything any more."""
 
     async def scenario(fleet):
         name = leader(fleet)
@@ -131,7 +131,7 @@
 
 
 def test_a_rejection_reason_that_fits_in_no_frame_does_not_stop_the_log(run_fleet):
-    """A member's reason became a part of an entry that was too long to be sent: nothing was decided again."""
+    """A member's reason made a log entry too long to be sent, so that nothing was committed any more."""
 
     async def scenario(fleet):
         name = leader(fleet)
@@ -171,9 +171,9 @@
         name = leader(fleet)
         raw = raw_deployment()
         raw["plans"]["basico"].update(limit=40.0, burst=80.0)
-        about = {"text": documents.serialize(raw), "client": "c", "n": 1, "by": "b", **fields}
+        command = {"text": documents.serialize(raw), "client": "c", "n": 1, "by": "b", **fields}
         with pytest.raises(CommandRejectedError) as refusal:
-            answer = await admin_client.send_policy_command(fleet.places, about.pop("verb"), **about)
+            answer = await admin_client.send_policy_command(fleet.places, command.pop("verb"), **command)
             raise CommandRejectedError(answer.said)
         assert not isinstance(refusal.value, PlannerUnavailableError)
         assert "is staged" not in str(refusal.value)
--- a/tests/planner/test_membership_store.py
+++ b/tests/planner/test_membership_store.py
@@ -1,4 +1,4 @@
-"""The membership store: what is damaged is left out, and what is no store of this format is rejected."""
+"""The membership store: damaged rows are left out; files of another kind or format are rejected."""
 
 import sqlite3
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def path(tmp_path):
-    """A store of two rows that was closed."""
+    """The path of a closed store with two rows."""
     path = tmp_path / "planner.db"
     store = MembershipStore(path)
     store.save([DAMAGED, INTACT], [], 7)
@@ -22,7 +22,7 @@
 
 
 def change(path, statement):
-    """Changes a store's file behind its back."""
+    """Changes a store's file directly."""
     with sqlite3.connect(path) as connection:
         connection.execute(statement)
 
@@ -48,7 +48,7 @@
         MembershipStore(tmp_path / "b")
 
 
-def test_removed_members_are_not_stored_any_more(path):
+def test_removed_members_are_no_longer_stored(path):
     store = MembershipStore(path)
     store.save([], [DAMAGED.name], 8)
     assert store.load() == ([INTACT], []) and store.version == 8
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -1,4 +1,4 @@
-"""A planner in a fleet on the virtual clock: edges serve without it, and what it sent them survives it."""
+"""A planner in a fleet on the virtual clock: edges work without it, and its state survives its crash."""
 
 import asyncio
 import copy
@@ -44,7 +44,7 @@
 
 
 def published_states(fleet, node):
-    """When, and as what, edges were notified of a node."""
+    """Returns the states of a node that edges were notified of, each with its time."""
     return [
         (row["at"], state)
         for row in fleet.records
@@ -59,7 +59,7 @@
         if condition():
             return
         await fleet.sleep(0.05)
-    raise AssertionError("it did not come to that")
+    raise AssertionError("the condition did not become true in time")
 
 
 def state_of(fleet, name):
@@ -94,7 +94,7 @@
 
 
 def test_a_draining_node_is_drained_when_nothing_is_in_flight(run_fleet):
-    away = next(name for name in DEPLOYMENT.folders if home_cell(name, 4) != 2)
+    folder_elsewhere = next(name for name in DEPLOYMENT.folders if home_cell(name, 4) != 2)
 
     async def scenario(fleet):
         client = await fleet.client(0)
@@ -102,18 +102,18 @@
         answer = await admin_client.send_fleet_command(fleet.lists.address, "drain", "node2")
         assert {row.member: row.condition for row in answer.members}["node2"] == "draining"
         for number in range(10):
-            await client.put(f"/{away}/{number}", b"x" * 40_000)
+            await client.put(f"/{folder_elsewhere}/{number}", b"x" * 40_000)
         await wait_until(fleet, lambda: state_of(fleet, "node2") == "drained")
-        with pytest.raises(CommandRejectedError) as fault:
+        with pytest.raises(CommandRejectedError) as error:
             await admin_client.send_fleet_command(fleet.lists.address, "drain", "node9")
         await admin_client.send_fleet_command(fleet.lists.address, "undrain", "node2")
         await fleet.sleep(1)
-        return str(fault.value), "\n".join(
+        return str(error.value), "\n".join(
             admin_client.format_fleet(await admin_client.send_fleet_command(fleet.lists.address, "show"))
         )
 
-    fleet, (fault, text) = run_fleet(scenario)
-    assert "no node 'node9'" in fault and "node2" in text and "edge0" in text and "term 1" in text
+    fleet, (error, text) = run_fleet(scenario)
+    assert "no node 'node9'" in error and "node2" in text and "edge0" in text and "term 1" in text
     assert [condition for _, condition in published_states(fleet, "node2")][-1] == "ready"
 
 
@@ -138,33 +138,33 @@
     assert drained in ("draining", "drained")
     drain = min(at for at, condition in published_states(fleet, "node3") if condition == "draining")
     assert not any(condition == "ready" for at, condition in published_states(fleet, "node3") if at > drain)
-    told = [
+    conditions = [
         condition for name in ("node0", "node1", "node2") for _, condition in published_states(fleet, name)
     ]
-    assert "gone" not in told
+    assert "gone" not in conditions
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_planner_may_be_killed_at_any_moment_under_faults(seed):
-    answers, good, _, breaches = planner_kills.played(seed)
+    answers, succeeded, _, breaches = planner_kills.played(seed)
     assert not breaches
-    assert good > 0.8 * answers
+    assert succeeded > 0.8 * answers
 
 
-def test_a_full_disk_is_logged_and_edges_are_notified_all_the_same(run_fleet):
+def test_a_full_disk_is_logged_and_edges_are_notified_nevertheless(run_fleet):
     async def scenario(fleet):
         await fleet.sleep(2)
         store = fleet.lists.program.store
-        whole, store.save = store.save, lambda *_: (_ for _ in ()).throw(OSError("no room"))
+        working_save, store.save = store.save, lambda *_: (_ for _ in ()).throw(OSError("no room"))
         fleet.kill_node("node1")
         await fleet.sleep(3)
-        gone = published_states(fleet, "node1")[-1][1]
-        store.save = whole
+        state = published_states(fleet, "node1")[-1][1]
+        store.save = working_save
         await fleet.sleep(1)
-        return gone, fleet.lists.program.publisher.unsaved
+        return state, fleet.lists.program.publisher.unsaved
 
-    fleet, (gone, unkept) = run_fleet(scenario)
-    assert gone == "gone" and unkept == {}
+    fleet, (state, unsaved) = run_fleet(scenario)
+    assert state == "gone" and unsaved == {}
     assert any(row["event"] == "membership_store.write_failed" for row in fleet.logs)
 
 
@@ -176,22 +176,22 @@
         fleet.kill_planner()
         fleet.kill_edge(0)
         await fleet.edge(0)
-        again = await fleet.client(0)
-        read = await again.get("/limon/a")
-        # Nonsense in the file is as no file, and said.
+        new_client = await fleet.client(0)
+        read = await new_client.get("/limon/a")
+        # A damaged file counts as none, and is logged.
         fleet.kill_edge(1)
         path = tmp_path / "edge1.list"
         path.write_bytes(path.read_bytes()[:-3] + b"???")
         await fleet.edge(1)
-        lost = await fleet.client(1)
+        client_without_list = await fleet.client(1)
         try:
-            await lost.get("/limon/a")
+            await client_without_list.get("/limon/a")
             return read, "served"
-        except (StatusError, ConnectionClosedError) as fault:
-            return read, type(fault).__name__
+        except (StatusError, ConnectionClosedError) as error:
+            return read, type(error).__name__
 
-    fleet, (read, without) = run_fleet(scenario, lists=tmp_path)
-    assert read == b"kept" * 100 and without == "StatusError"
+    fleet, (read, outcome_without_list) = run_fleet(scenario, lists=tmp_path)
+    assert read == b"kept" * 100 and outcome_without_list == "StatusError"
     assert any(row["event"] == "endpoint_cache.loaded" for row in fleet.logs)
     assert any(
         row["event"] == "endpoint_cache.read_failed" and "checksum" in row["reason"] for row in fleet.logs
@@ -225,8 +225,8 @@
 
 
 def test_hundreds_of_edges_reconnect_spread_over_time(tmp_path):
-    async def whole(loop):
-        rows, told, count = [], {}, 300
+    async def main(loop):
+        rows, received_at, count = [], {}, 300
         logger = log.to_list(rows, "error")
         store = MembershipStore(tmp_path / "p")
         store.save(
@@ -253,24 +253,26 @@
                 hello,
                 random.Random(number),
                 logger,
-                lambda listing, number=number: told.setdefault(number, []).append(loop.time()),
+                lambda listing, number=number: received_at.setdefault(number, []).append(loop.time()),
             )
             tasks.append(loop.create_task(client.run()))
         await asyncio.sleep(4)
-        assert len(told) == count
+        assert len(received_at) == count
         process.kill()
         await asyncio.sleep(3)
-        told.clear()
-        again = loop.process("planner")
-        begun = loop.time()
-        await again.spawn(Planner(1, MembershipStore(tmp_path / "p"), logger).open("127.0.0.1", port))
+        received_at.clear()
+        restarted_process = loop.process("planner")
+        restarted_at = loop.time()
+        await restarted_process.spawn(
+            Planner(1, MembershipStore(tmp_path / "p"), logger).open("127.0.0.1", port)
+        )
         await asyncio.sleep(LEASE_DURATION)
         for task in tasks:
             task.cancel()
-        return begun, told
+        return restarted_at, received_at
 
-    begun, told = run(whole, 5)
-    firsts = sorted(times[0] - begun for times in told.values())
-    assert len(firsts) == 300 and firsts[-1] < 3.0
-    busiest = max(sum(at <= one < at + 0.1 for one in firsts) for at in firsts)
-    assert busiest < 60
+    restarted_at, received_at = run(main, 5)
+    delays = sorted(times[0] - restarted_at for times in received_at.values())
+    assert len(delays) == 300 and delays[-1] < 3.0
+    most_within_interval = max(sum(at <= delay < at + 0.1 for delay in delays) for at in delays)
+    assert most_within_interval < 60
--- a/tests/planner/test_planner_process.py
+++ b/tests/planner/test_planner_process.py
@@ -1,4 +1,4 @@
-"""The planner as a process: killed while real clients work, and commanded from the command line."""
+"""The planner as a process: killed while clients work, and controlled from the command line."""
 
 import asyncio
 import copy
@@ -15,7 +15,7 @@
 from rushmux.standins.processes import ProcessFleet
 
 RAW = json.loads(Path(deployment.__file__).with_name("example.json").read_text())
-MAX_DELAY = 0.25  # seconds: longest that a message takes between processes of a busy machine
+MAX_DELAY = 0.25  # seconds; maximum delay of a message between processes on a busy machine
 
 
 def test_a_planner_is_killed_twice_while_clients_work(tmp_path):
@@ -23,11 +23,11 @@
     raw["fleet"]["gateways"] = 2
     path = tmp_path / "deployment.json"
     path.write_text(json.dumps(raw))
-    stated = deployment.load(path)
+    loaded_deployment = deployment.load(path)
     events = script.parse("length 9\nat 2 trouble node1 silent for 2\nat 4 kill node2\nat 5 start node2\n")
 
     async def scenario():
-        fleet = ProcessFleet(path, stated, tmp_path, 5, records=True, unit=0.004, planner=True)
+        fleet = ProcessFleet(path, loaded_deployment, tmp_path, 5, records=True, unit=0.004, planner=True)
         try:
             await fleet.up(3, 2)
             port = fleet.lists.port
@@ -43,7 +43,7 @@
             task = asyncio.ensure_future(killer())
             await scenarios.play(fleet, events, scenarios.Load(0.4), 5)
             await task
-            # The last start knows all of it again.
+            # The last start has restored the fleet's state.
             await asyncio.sleep(2.5)
             shown = await asyncio.to_thread(CliRunner().invoke, main, ["fleet", "show", "--planner", address])
             drained = await asyncio.to_thread(
@@ -55,7 +55,7 @@
 
     fleet, shown, drained = asyncio.run(scenario())
     records = fleet.all_records()
-    breaches = Checker(records, stated, MAX_DELAY).breaches()
+    breaches = Checker(records, loaded_deployment, MAX_DELAY).breaches()
     assert not breaches
     answers = [row for row in records if row["kind"] == "answer"]
     assert len(answers) > 100 and sum(row["status"] in (0, 1) for row in answers) > 0.8 * len(answers)
--- a/tests/planner/test_proposals.py
+++ b/tests/planner/test_proposals.py
@@ -1,4 +1,4 @@
-"""Proposals that wait to be committed: each has its result, or is told that the outcome is not known."""
+"""Pending proposals: each gets its result, or an error that its outcome is unknown."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 def resolved(settle):
-    """The result of a proposal at index 5 of term 3, after `settle`."""
+    """Returns the result of a proposal at index 5 of term 3, after `settle`."""
 
     async def main():
         proposals = PendingProposals()
@@ -38,12 +38,12 @@
         resolved(settle)
 
 
-def test_the_same_command_is_known_while_it_waits():
+def test_the_same_command_is_found_while_it_is_pending():
     async def main():
         proposals = PendingProposals()
         proposals.add(5, 3, COMMAND)
-        known = proposals.contains({**COMMAND, "why": "again"}), proposals.contains({"kind": "end"})
+        pending = proposals.contains({**COMMAND, "why": "again"}), proposals.contains({"kind": "end"})
         proposals.resolve(5, 3, "")
-        return known, proposals.contains(COMMAND)
+        return pending, proposals.contains(COMMAND)
 
     assert asyncio.run(main()) == ((True, False), False)
--- a/tests/planner/test_raft_storage.py
+++ b/tests/planner/test_raft_storage.py
@@ -1,4 +1,4 @@
-"""The Raft log on disk: what was synced is loaded again; an incomplete last record is told from damage."""
+"""The Raft log on disk: synced data is loaded again, and an incomplete last record is not taken for damage."""
 
 import os
 
@@ -48,11 +48,11 @@
         storage.incarnation == "77" and storage.persistent.term == 3 and storage.persistent.voted_for == "b/1"
     )
     assert [row.body for row in storage.persistent.entries] == [b"x", b"z", ("a/77",)]
-    whole = raft.Snapshot(2, 3, ("a/77",), b"state")
-    storage.write(raft.Ready(snapshot=whole))
+    snapshot = raft.Snapshot(2, 3, ("a/77",), b"state")
+    storage.write(raft.Ready(snapshot=snapshot))
     storage.write(raft.Ready(entries=((4, entry(3, "w")),)))
     storage = reopened(path, storage)
-    assert storage.persistent.snapshot == whole and [row.body for row in storage.persistent.entries] == [
+    assert storage.persistent.snapshot == snapshot and [row.body for row in storage.persistent.entries] == [
         ("a/77",),
         b"w",
     ]
@@ -66,9 +66,9 @@
     storage = reopened(path)
     storage.write(raft.Ready(entries=((2, entry(1, "second")),)))
     storage.release()
-    whole = path.read_bytes()
-    for size in range(len(synced), len(whole)):
-        path.write_bytes(whole[:size])
+    complete = path.read_bytes()
+    for size in range(len(synced), len(complete)):
+        path.write_bytes(complete[:size])
         storage = reopened(path)
         assert [row.body for row in storage.persistent.entries] == [b"first"] and path.stat().st_size == len(
             synced
@@ -80,8 +80,8 @@
 
 
 def with_damaged_entry(data):
-    place = data.index(b"entry 2")
-    return data[:place] + b"X" + data[place + 1 :]
+    offset = data.index(b"entry 2")
+    return data[:offset] + b"X" + data[offset + 1 :]
 
 
 def of_another_program(data):
@@ -126,16 +126,16 @@
 def test_after_a_partial_write_the_complete_records_are_loaded(path, monkeypatch):
     storage = opened(path)
     storage.write(raft.Ready(entries=((1, entry(1, "kept")),)))
-    real = os.write
+    real_write = os.write
 
-    def half(sink, data):
-        real(sink, data[: len(data) // 2])
+    def write_half(file, data):
+        real_write(file, data[: len(data) // 2])
         raise OSError("no room")
 
-    monkeypatch.setattr(os, "write", half)
+    monkeypatch.setattr(os, "write", write_half)
     with pytest.raises(OSError):
         storage.write(raft.Ready(entries=((2, entry(1, "lost")),)))
-    monkeypatch.setattr(os, "write", real)
+    monkeypatch.setattr(os, "write", real_write)
     storage.load()
     assert [row.body for row in storage.persistent.entries] == [b"kept"]
     storage.write(raft.Ready(entries=((2, entry(1, "anew")),)))
--- a/tests/planner/test_replicated_policy.py
+++ b/tests/planner/test_replicated_policy.py
@@ -15,9 +15,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_random_faults_break_no_rule_and_all_members_converge(seed, tmp_path):
-    found = policy_fleet.played(seed, tmp_path)
-    assert found.breaches == []
-    assert found.facts["decide"] >= 2 and found.facts["answers"] > 200
+    result = policy_fleet.played(seed, tmp_path)
+    assert result.breaches == []
+    assert result.facts["decide"] >= 2 and result.facts["answers"] > 200
 
 
 @pytest.fixture
@@ -56,15 +56,15 @@
         working = replicated_log.storage.write, replicated_log.storage.rewrite
         failing = [True]
 
-        def fails(function):
-            def attempt(*values):
+        def failing_on_demand(function):
+            def call(*values):
                 if failing:
                     raise OSError(28, "No space left on device")
                 return function(*values)
 
-            return attempt
+            return call
 
-        replicated_log.storage.write, replicated_log.storage.rewrite = map(fails, working)
+        replicated_log.storage.write, replicated_log.storage.rewrite = map(failing_on_demand, working)
         await propose(fleet, "full", 40.0)
         await fleet.sleep(5)
         assert (
@@ -77,7 +77,7 @@
         await fleet.sleep(5)
         assert replicated_log.storage_failed_at is None and replicated_log.policy.active.version == 2
         assert any(row["event"] == "raft.storage_failed" for row in fleet.logs)
-        # It votes again: the other two are one short without it.
+        # It votes again: without the leader, its vote is needed for a majority.
         fleet.kill_planner_of(leader(fleet))
         await propose(fleet, "after", 50.0)
         await fleet.sleep(6)
@@ -143,7 +143,7 @@
     async def scenario(fleet):
         name = next(name for name in policy_fleet.PLANNERS if name != leader(fleet))
         fleet.kill_planner_of(name)
-        for number in range(260):  # more entries than a log keeps
+        for number in range(260):  # enough entries to compact the log
             await admin_client.send_fleet_command(fleet.places, ("drain", "undrain")[number % 2], "node0")
         assert fleet.planners[leader(fleet)].program.replicated_log.node.snapshot.index > 100
         await fleet.start_planner(name)
@@ -152,7 +152,7 @@
         replicated_log = fleet.planners[name].program.replicated_log
         assert replicated_log.node.snapshot.index > 100 and replicated_log.policy.active.version == 2
         assert replicated_log.policy.members == ("edge0", "edge1")
-        # And from its disk.
+        # It also loads the snapshot from its disk.
         fleet.kill_planner_of(name)
         await fleet.start_planner(name)
         assert fleet.planners[name].program.replicated_log.policy.members == ("edge0", "edge1")
@@ -172,7 +172,7 @@
             while await reader.read(1 << 16):
                 pass
         await fleet.sleep(3)
-        # It still ticks: it would not lead any more, and decide nothing, if its steps had ended.
+        # It still ticks: otherwise it would no longer lead or commit anything.
         assert leader(fleet) == name
         await propose(fleet, "down", 40.0)
         assert fleet.operator_commands[-1]["said"].endswith("is staged")
--- a/tests/planner/test_server.py
+++ b/tests/planner/test_server.py
@@ -1,4 +1,4 @@
-"""The common part of servers: the greeting, its time-out, messages, and the end of a peer."""
+"""The base of servers: the greeting and its timeout, messages, and the end of a connection."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class RecordingServer(PeerServer):
-    """Notes what its hooks are called with."""
+    """Records the calls of its hooks."""
 
     def __init__(self):
         super().__init__("server", "3", log.to_list([]))
@@ -34,20 +34,20 @@
 
 
 def converse(*sent):
-    """The server, what it answered, and after how many seconds it closed the connection."""
+    """Returns the server, its messages, and after how many seconds it closed the connection (or None)."""
 
     async def main(loop):
         server = RecordingServer()
         port = await server.listen(HOST, 0)
         reader, writer = await asyncio.open_connection(HOST, port)
-        begun, received, frames = loop.time(), [], FrameReader()
+        started_at, received, frames = loop.time(), [], FrameReader()
         for message in sent:
             writer.write(frame(message))
         try:
             async with asyncio.timeout(2 * HELLO_TIMEOUT):
                 while data := await reader.read(1 << 16):
                     received += frames.feed(data)
-            closed_after = loop.time() - begun
+            closed_after = loop.time() - started_at
         except TimeoutError:
             closed_after = None
         await server.close_server()
@@ -73,7 +73,7 @@
     assert not received and closed_after < 1.0 and not server.events
 
 
-def test_a_peer_that_does_not_greet_is_closed_after_the_time_out():
+def test_a_connection_without_a_greeting_is_closed_after_the_timeout():
     server, received, closed_after = converse()
     assert not received and closed_after == pytest.approx(HELLO_TIMEOUT, abs=0.1) and not server.events
 
--- a/tests/planner/test_stored_commands.py
+++ b/tests/planner/test_stored_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands have the stored form that logs of earlier versions have, byte for byte."""
+"""Commands are stored byte for byte as in the logs of earlier versions."""
 
 import orjson
 import pytest
