--- a/rushmux/planner/admin_client.py
+++ b/rushmux/planner/admin_client.py
@@ -88,7 +88,6 @@
 
 
 async def _exchange(address: Address, request: messages.Message, answer_kind: str):
-    """Sends one request to one planner and returns its answer."""
     writer = None
     try:
         async with asyncio.timeout(ANSWER_TIMEOUT):
--- a/rushmux/planner/fleet_admin.py
+++ b/rushmux/planner/fleet_admin.py
@@ -20,7 +20,7 @@
 
 
 class FleetAdmin:
-    """Executes commands about members, and answers with the resulting state of the fleet."""
+    """Executes commands, and answers with the resulting state of the fleet."""
 
     def __init__(
         self, state: FleetState, publisher: EndpointPublisher, log: structlog.typing.FilteringBoundLogger
@@ -55,7 +55,6 @@
         return answer
 
     def _rejection_reason(self, command: messages.Order) -> str | None:
-        """Returns why a command cannot be executed, or None."""
         if command.verb == FleetVerb.SHOW:
             return None
         if command.verb not in DRAIN_COMMANDS:
--- a/rushmux/planner/fleet_state.py
+++ b/rushmux/planner/fleet_state.py
@@ -1,4 +1,4 @@
-"""What a leading planner knows of its fleet: members, nodes' reports, drains and reasons for states."""
+"""What the leader knows of the fleet: members, nodes' reports, drains and reasons for states."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -12,7 +12,7 @@
     """A node's last report.
 
     Attributes:
-        entry: the node's entry for the endpoint list, as it reported it.
+        entry: the node's entry for the endpoint list.
         reported_at: when the report arrived, in seconds of the event loop's clock.
     """
 
@@ -57,7 +57,7 @@
         )
 
     def remove_forgotten_nodes(self) -> list[str]:
-        """Removes the reports of nodes that are no longer members, and returns the nodes' names."""
+        """Removes nodes that are no longer members, and returns their names."""
         forgotten = [name for name in self.nodes if name not in self.membership.members]
         for name in forgotten:
             del self.nodes[name]
--- a/rushmux/planner/member_tracker.py
+++ b/rushmux/planner/member_tracker.py
@@ -22,7 +22,7 @@
     Args:
         state: the fleet's state, which this object modifies.
         publisher: stores changes and sends them to the edges.
-        cells: the number of shards of the fleet's data.
+        cells: number of shards of the fleet's data.
     """
 
     def __init__(self, state: FleetState, publisher: EndpointPublisher, cells: int):
@@ -73,7 +73,7 @@
         if member is None or member.incarnation != entry.start:
             return  # a late report from an earlier incarnation
         self._state.nodes[entry.node] = NodeRecord(entry, now)
-        # A node that asks for its drain is handled like one that operators drain.
+        # A node's own request to drain counts like an operator's.
         should_drain = entry.condition == DRAINING or entry.node in self._state.drained
         if should_drain and not member.draining:
             self._publisher.on_member_changes(self._state.membership.drain(now, entry.node))
--- a/rushmux/planner/peer_names.py
+++ b/rushmux/planner/peer_names.py
@@ -6,12 +6,12 @@
 
 
 def is_edge(name: str) -> bool:
-    """Returns whether a peer of this name is an edge."""
+    """Whether a peer of this name is an edge."""
     return name.startswith(EDGE_PREFIX)
 
 
 def is_planner(name: str) -> bool:
-    """Returns whether a peer of this name is a planner."""
+    """Whether a peer of this name is a planner."""
     return name.startswith(PLANNER_PREFIX)
 
 
--- a/rushmux/planner/planner.py
+++ b/rushmux/planner/planner.py
@@ -41,14 +41,14 @@
     """One planner.
 
     Args:
-        cells: the number of shards of the fleet's data.
+        cells: number of shards of the fleet's data.
         store: the planner's stored membership.
         log: the logger.
         record: called with what is published or committed, for checkers of recorded histories.
         limited_folders: names of the folders that have limits.
         gateway_count: the maximum number of edges.
         deployment: its policy becomes the fleet's first one; None: the fleet has no policy.
-        replication: the planners that decide together; None: this one decides alone, with its own store.
+        replication: the planners that decide together; None: this one decides alone.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self._handlers, self._leader_handlers = self._message_handlers()
 
     def _message_handlers(self) -> tuple[dict[str, Callable], dict[str, Callable]]:
-        """Returns handlers by message: those of every planner, and those of the leader."""
+        """Returns the handlers of every planner and those of the leader, by message."""
         always = {"policy_order": self._on_policy_command}
         leading = {"report": self._on_report, "ask": self._on_quota_request}
         if self._replication is None:
@@ -136,7 +136,7 @@
         self.store.close()
 
     def _bootstrap_command(self) -> StoredCommand | None:
-        """Returns the command that creates the fleet's first policy, or None if it is to have none."""
+        """Returns the command that creates the fleet's first policy, if it is to have one."""
         if self._deployment is None or not self._deployment.planner_policy:
             return None
         return policy_admin.bootstrap_command(self._deployment)
@@ -144,7 +144,7 @@
     # Leadership.
 
     def _on_leadership(self, leads: bool) -> None:
-        """Handles the start or end of leadership; members reconnect, as their known state is outdated."""
+        """Disconnects members when leadership begins or ends, as their known state is outdated."""
         for peer in self.connected_peers():
             if not peer_names.is_planner(peer.name) and not peer.name.startswith(peer_names.OPERATOR):
                 peer.writer.transport.abort()
@@ -162,7 +162,7 @@
     def _begin_term(self, term: int) -> None:
         """Restores the state for a new term from the store.
 
-        With several planners, the drains are those in their log, since this planner's store may be outdated.
+        With several planners, drains come from their log, since this planner's store may be outdated.
         """
         now = self.loop.time()
         stored = self.store.load()
@@ -236,7 +236,7 @@
         self.replicated_log.on_message(message)
 
     def _is_own_message(self, peer: PeerConnection, message: messages.Word) -> bool:
-        """Returns whether a Raft message comes from a planner of this fleet, in its own name."""
+        """Whether a Raft message comes from a planner of this fleet, in its own name."""
         sender = peer_names.planner_member_id(peer.name)
         return (
             peer_names.is_planner(peer.name)
--- a/rushmux/planner/policy_admin.py
+++ b/rushmux/planner/policy_admin.py
@@ -83,7 +83,6 @@
 def _stored_command(
     replicated_log: ReplicatedLog, deployment: Deployment, verb: str, fields: Mapping[str, Any]
 ) -> StoredCommand:
-    """Returns the stored form of an operator's command."""
     origin = _origin_of(fields)
     if verb == PolicyVerb.PROPOSE:
         document = _checked_document(replicated_log, deployment, fields["text"])
--- a/rushmux/planner/policy_status.py
+++ b/rushmux/planner/policy_status.py
@@ -11,7 +11,7 @@
 def encode_status(replicated_log: ReplicatedLog) -> bytes:
     """Returns the policy's state as this planner knows it.
 
-    Other planners may know an older or newer one; only the leader knows what members report.
+    Others may know an older or newer one; only the leader knows what members report.
     """
     policy = replicated_log.policy
     active, staged = policy.active, policy.staged
--- a/rushmux/planner/proposals.py
+++ b/rushmux/planner/proposals.py
@@ -1,4 +1,4 @@
-"""Commands that were proposed to the replicated log and are not committed yet."""
+"""Commands that were proposed to the replicated log but not committed yet."""
 
 import asyncio
 from typing import NamedTuple
@@ -30,13 +30,13 @@
     def add(self, index: int, term: int, command: StoredCommand) -> asyncio.Future:
         """Adds the proposal of an entry, and returns a future of its command's result."""
         result = asyncio.get_running_loop().create_future()
-        # Marks the exception as retrieved: the leader does not await the results of its own proposals.
+        # Retrieves the exception: the leader does not await the results of its own proposals.
         result.add_done_callback(lambda _: result.cancelled() or result.exception())
         self._proposals[index] = _Proposal(term, command, result)
         return result
 
     def contains(self, command: StoredCommand) -> bool:
-        """Returns whether a command of the same kind and policy version is pending."""
+        """Whether a command of the same kind and policy version is pending."""
         return any(is_same_change(proposal.command, command) for proposal in self._proposals.values())
 
     def resolve(self, index: int, term: int, result: str) -> None:
@@ -52,7 +52,7 @@
             )
 
     def fail_all(self, reason: str) -> None:
-        """Fails all pending proposals, since this planner will not learn their outcome."""
+        """Fails all pending proposals: this planner will not learn their outcome."""
         proposals, self._proposals = self._proposals, {}
         for proposal in proposals.values():
             if not proposal.result.done():
--- a/rushmux/planner/quota_service.py
+++ b/rushmux/planner/quota_service.py
@@ -32,7 +32,7 @@
         self._allocator: QuotaAllocator | None = None
 
     def begin_term(self, term: int, now: float) -> None:
-        """Starts without knowing any grants, since those of an earlier leader are not stored."""
+        """Starts without any grants: those of an earlier leader are unknown."""
         self._allocator = QuotaAllocator(term, self._limited_folders, self._gateway_count, now)
 
     def forget_unconfirmed(self) -> None:
@@ -42,8 +42,8 @@
     def on_request(self, peer: PeerConnection, request: messages.Ask, clock: Callable[[], float]) -> None:
         """Answers an edge's request once a majority has confirmed that this planner leads.
 
-        A leader that was replaced without knowing it would grant quotas that now belong to other edges.  One
-        request of each edge waits at a time; further ones are dropped, and the edge repeats them.
+        A replaced leader would grant quotas that others hold by now.  One request of each edge waits at a
+        time; further ones are dropped, and the edge repeats them.
 
         Raises:
             WireError: the request is invalid.
--- a/rushmux/planner/raft_storage.py
+++ b/rushmux/planner/raft_storage.py
@@ -2,8 +2,8 @@
 
 The log is a file of records (`rushmux.records`).  A new snapshot replaces the file atomically: a crash leaves
 either the old or the new one.  An incomplete last record was never acknowledged and is truncated.  Damage
-before it means that acknowledged entries or votes are lost; the planner then refuses to start, because it
-could vote twice in a term or lose committed entries.
+before it means that acknowledged entries or votes are lost; the planner then refuses to start, since it
+could contradict its earlier votes.
 """
 
 import fcntl
--- a/rushmux/planner/raft_transport.py
+++ b/rushmux/planner/raft_transport.py
@@ -84,9 +84,7 @@
             self._writers[name] = writer
             frames = FrameReader()
             while data := await reader.read(READ_SIZE):
-                frames.feed(
-                    data
-                )  # a greeting at most: replies come on the connection that the other planner dialled
+                frames.feed(data)  # at most a greeting; replies come on the other planner's connection
         finally:
             self._writers.pop(name, None)
             if writer is not None:
--- a/rushmux/planner/replicated_log.py
+++ b/rushmux/planner/replicated_log.py
@@ -101,8 +101,7 @@
     def start(self) -> None:
         """Starts ticking, and connecting to the other planners."""
         self._transport.start()
-        # Essential: a step that fails halfway may leave the node inconsistent with its disk, so the program
-        # must restart from the disk.
+        # A step that fails halfway may leave the node unlike its disk, so the program must restart from that.
         self._supervisor.run_essential("raft_ticks", self._run_ticks)
 
     def close(self) -> None:
--- a/rushmux/planner/server.py
+++ b/rushmux/planner/server.py
@@ -1,4 +1,4 @@
-"""Base of the servers that speak the nodes' wire protocol: greeting, message loop, end of connections."""
+"""Base of servers on the nodes' wire: greeting, message loop, end of connections."""
 
 import asyncio
 
@@ -58,7 +58,7 @@
 
 
 class _Client:
-    """An accepted connection: its task, and its peer once that has sent its greeting."""
+    """An accepted connection: its task, and its peer after the greeting."""
 
     def __init__(self, task: asyncio.Task):
         self.task = task
@@ -99,7 +99,7 @@
             writer.transport.abort()
 
     async def close_server(self) -> None:
-        """Stops accepting connections, aborts all existing ones and waits for their tasks."""
+        """Stops accepting, aborts all connections and waits for their tasks."""
         self._closing = True
         if self.server is not None:
             self.server.close()
@@ -119,7 +119,7 @@
         """Called when a peer has sent its greeting; a WireError closes its connection."""
 
     def on_peer_disconnected(self, peer: PeerConnection) -> None:
-        """Called when the connection of a peer that had sent its greeting has ended."""
+        """Called when a peer's connection has ended."""
 
     def on_message(self, peer: PeerConnection, kind: str, body: Message) -> None:
         """Handles a message.
@@ -150,7 +150,7 @@
             reason = type(error).__name__
             self.log.exception("peer.fault", peer=client.peer.name if client.peer is not None else "")
         except asyncio.CancelledError:
-            if not self._closing:  # cancelled by `close_server`, which awaits it
+            if not self._closing:  # `close_server` cancels this task and awaits it
                 raise
         finally:
             self._clients.pop(writer, None)
@@ -162,7 +162,7 @@
     async def _serve_client(
         self, client: _Client, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Exchanges greetings, then handles messages until the peer closes the connection."""
+        """Greets the peer, then handles its messages until it closes the connection."""
         frames = FrameReader()
         async with asyncio.timeout(HELLO_TIMEOUT):
             received = await self._read_messages(reader, frames)
--- a/rushmux/planner/stored_commands.py
+++ b/rushmux/planner/stored_commands.py
@@ -38,7 +38,7 @@
 
 
 def bootstrap(members: Sequence[str], document: PolicyDocument) -> StoredCommand:
-    """Returns the command that creates the fleet's first policy and names all its possible members."""
+    """Command that creates the fleet's first policy and names all its possible members."""
     return {
         "kind": CommandKind.BOOTSTRAP.value,
         "members": list(members),
@@ -49,7 +49,7 @@
 
 
 def propose(document: PolicyDocument, base: int | None, origin: Origin) -> StoredCommand:
-    """Returns the command that stages a policy, only if version `base` is active (None: in any case)."""
+    """Command that stages a policy, only if version `base` is active (None: in any case)."""
     return {
         "kind": CommandKind.PROPOSE.value,
         "base": base,
@@ -60,27 +60,27 @@
 
 
 def revert(version: int, origin: Origin) -> StoredCommand:
-    """Returns the command that stages a past policy again."""
+    """Command that stages a past policy again."""
     return {"kind": CommandKind.REVERT.value, "number": version, **_stored_origin(origin)}
 
 
 def withdraw(version: int, origin: Origin) -> StoredCommand:
-    """Returns the command that ends a staged change."""
+    """Command that ends a staged change."""
     return {"kind": CommandKind.WITHDRAW.value, "number": version, **_stored_origin(origin)}
 
 
 def forget(member: str, origin: Origin) -> StoredCommand:
-    """Returns the command that lets changes proceed without a member."""
+    """Command that lets changes proceed without a member."""
     return {"kind": CommandKind.FORGET.value, "member": member, **_stored_origin(origin)}
 
 
 def drain(node: str) -> StoredCommand:
-    """Returns the command that stops new work from going to a node."""
+    """Command that stops new work from going to a node."""
     return {"kind": CommandKind.DRAIN.value, "member": node, "by": FLEET_AUTHOR}
 
 
 def undrain(node: str) -> StoredCommand:
-    """Returns the command that lets a drained node be used again."""
+    """Command that lets a drained node be used again."""
     return {"kind": CommandKind.UNDRAIN.value, "member": node, "by": FLEET_AUTHOR}
 
 
@@ -89,12 +89,12 @@
 
 
 def origin_of(command: StoredCommand) -> Origin | None:
-    """Returns the origin of a stored command, or None if it has no idempotency key."""
+    """Returns a command's origin, or None if it has no idempotency key."""
     if "client" not in command:
         return None
     return Origin(command["client"], command["n"], command.get("by", ""))
 
 
 def is_same_change(command: StoredCommand, other: StoredCommand) -> bool:
-    """Returns whether two commands have the same kind and policy version."""
+    """Whether two commands have the same kind and policy version."""
     return (command["kind"], command.get("number")) == (other["kind"], other.get("number"))
--- a/tests/planner/test_raft_storage.py
+++ b/tests/planner/test_raft_storage.py
@@ -1,4 +1,4 @@
-"""The Raft log on disk: synced data is loaded again, and an incomplete last record is not taken for damage."""
+"""The Raft log on disk: synced data is loaded again, and an incomplete last record is not damage."""
 
 import os
 
