--- a/rushmux/scheduling/concurrency_limit.py
+++ b/rushmux/scheduling/concurrency_limit.py
@@ -21,9 +21,8 @@
 class ConcurrencyLimit:
     """Limits the attempts in flight at a node, or from this gateway over all nodes (`is_global`).
 
-    One attempt from each of hundreds of gateways can overload a node, and no gateway sees the others.  So
-    late answers decrease the limit.  An attempt past its latency objective counts as late and no longer as
-    in flight.
+    Hundreds of gateways with one attempt each can overload a node without seeing each other, so late answers
+    decrease the limit.  An attempt past its latency objective is late and no longer counted.
     """
 
     def __init__(self, size, is_global):
@@ -46,7 +45,7 @@
         return max(admitted_at, late_at) if len(self.in_flight) >= max(1, int(size)) else admitted_at
 
     def on_result(self, operation, attempt, result, now, mean_units):
-        """Adapts the limit to an attempt that finished or is late; each attempt counts once."""
+        """Adapts the limit to an attempt that finished or is late, once."""
         was_full = len(self.in_flight) >= int(self.size)
         sent_at, node = self.in_flight.pop((operation, attempt), (None, None))
         # Nodes that are gone, unreachable or failing must not decrease the global limit for the others.
@@ -55,8 +54,7 @@
         succeeded, latency = result is AttemptResult.SUCCEEDED, now - sent_at
         failed_before, self.last_failed = self.last_failed, not succeeded
         slow, reports_load = latency > self._late_after(operation, mean_units), node.reports_load
-        # An attempt that was cancelled, or timed out under a short client deadline, before it was late says
-        # nothing about load.
+        # A cancellation or a client's short deadline that ends an attempt early says nothing about load.
         cut_short = result is AttemptResult.CANCELLED or (reports_load and result is AttemptResult.TIMED_OUT)
         if cut_short and not slow:
             return
--- a/rushmux/scheduling/driver.py
+++ b/rushmux/scheduling/driver.py
@@ -29,7 +29,7 @@
 
 TICKS_PER_SECOND = 10_000
 PAUSE_THRESHOLD = 0.001  # seconds: a timer later than this shows that this process was paused
-TIMEOUT_GRACE = 0.002  # seconds by which a timeout after a pause is postponed, so that sockets are read first
+TIMEOUT_GRACE = 0.002  # seconds to read the sockets before a timeout after a pause
 NEVER = float("inf")  # later than any time of the loop
 
 
@@ -47,13 +47,13 @@
     """A gateway's handle of an attempt in flight."""
 
     sent: bool
-    """Whether its last byte has left this process."""
+    """Whether all its bytes have left this process."""
 
     def drop(self) -> None:
-        """Abandons the attempt; its result is ignored."""
+        """Ignores the attempt from now on."""
 
     def cancel(self) -> None:
-        """Cancels the attempt, and notifies its node if the protocol supports it."""
+        """Cancels the attempt, at its node too if the protocol can."""
 
 
 class Attempt(NamedTuple):
@@ -117,8 +117,8 @@
     ) -> AttemptHandle | None:
         """Starts sending an attempt; calls `on_reply` once, later.
 
-        The attempt may wait for a connection, but its first byte must be written before the loop time
-        `latest_start` or never.  Returns the attempt's handle, or None if it has no state to track.
+        It may wait for a connection, but must write its first byte before the loop time `latest_start` or
+        never.  Returns the attempt's handle, if any.
         """
         raise NotImplementedError
 
@@ -199,9 +199,9 @@
             self.enqueue(self._deliver_client_gone, op_id)
 
     def abort(self, op_id: str) -> None:
-        """Ends an operation as failed without a decision of the scheduler.
+        """Ends an operation as failed, without the scheduler.
 
-        The scheduler may still start attempts of it, so it is kept until the scheduler is notified.
+        The scheduler may still start its attempts, so it is kept until the scheduler is notified.
         """
         operation = self.operations.get(op_id)
         if operation is not None and not operation.ended:
@@ -221,8 +221,7 @@
         self._cancel_unsent(operation)
 
     def _cancel_unsent(self, operation: InFlightOperation) -> None:
-        # Attempts that wait for a connection would otherwise be sent later, for a client that has left or was
-        # answered.
+        # Attempts that wait for a connection would be sent later, although nobody needs their result.
         for number, attempt in operation.attempts.items():
             if attempt.handle is not None and not attempt.handle.sent:
                 attempt.handle.drop()
@@ -257,7 +256,7 @@
     def _deliver_reply(self, now: Ticks, op_id: str, number: int, reply: AttemptReply) -> None:
         operation = self.operations.get(op_id)
         if operation is None or number not in operation.attempts:
-            return  # its outcome was delivered before, for example a timeout
+            return  # it has timed out before
         attempt = operation.attempts.pop(number)
         result = self._close_attempt(attempt, reply.result)
         if result not in NEVER_RAN and result is not AttemptResult.SUCCEEDED:
@@ -331,7 +330,7 @@
         self._end(op_id, FinalAnswer.SHED, retry_after)
 
     def fail(self, op_id: str) -> None:
-        """Answers that the operation failed and may have run."""
+        """Answers that the operation failed."""
         self._end(op_id, FinalAnswer.FAILED, 0)
 
     def _end(self, op_id: str, answer: FinalAnswer, retry_after: Ticks) -> None:
--- a/rushmux/scheduling/endpoint_picker.py
+++ b/rushmux/scheduling/endpoint_picker.py
@@ -1,10 +1,10 @@
-"""Chooses an operation's cell: the one with its data, or for a new object the better of two random ones."""
+"""Chooses an operation's cell: the one with its data, or the better of two random ones for a new object."""
 
 from rushmux.scheduling.interface import EndpointState, GiveUpReason, Idempotency
 from rushmux.scheduling.records import Stage
 
-MAX_DRAWS = 10  # draws for two usable cells: enough when half of the nodes are suspended
-CHOICES = 2  # usable cells of which the less loaded one is taken ("power of two choices")
+MAX_DRAWS = 10  # for two usable cells: enough if half of the nodes are suspended
+CHOICES = 2  # usable cells of which the less loaded one is taken
 RESERVED_FACTOR = 3  # factor of the limits for operations due by a reserve, since reserves are guaranteed
 
 
@@ -19,7 +19,7 @@
 
     def accept(self, operation, now):
         """Sets the operation's cell; without any listed node the operation is given up."""
-        # An operation that may have run stays in its cell, whose nodes recognize a repeat by its key.
+        # What may have run stays in its cell, whose nodes recognize its key.
         movable = operation.request_class.idempotency is Idempotency.IDEMPOTENT
         if operation.cell is None or operation.may_have_run_at is None or movable:
             cells, number = self.scheduler.endpoints.cells, operation.requested_cell
@@ -31,8 +31,7 @@
     def pick(self, units, now):
         """Returns the less loaded of two random usable cells, else the first one drawn, or None.
 
-        Cells whose node has no free capacity or is in slow start are skipped; otherwise unresponsive nodes
-        would receive new objects.
+        Cells with a full or cold node are skipped, so that unresponsive nodes receive no new objects.
         """
         cells, usable, first_drawn = self.scheduler.endpoints.listed_cells, [], None
         for _ in range(MAX_DRAWS if cells else 0):
--- a/rushmux/scheduling/interface.py
+++ b/rushmux/scheduling/interface.py
@@ -22,7 +22,7 @@
 
     IDEMPOTENT = "replayable"
     KEYED = "referenced"
-    """Nodes recognize a repeat by its key, within a time window and a scope, and ignore it."""
+    """Nodes ignore a repeat by its key, within a time window and a scope."""
     NOT_IDEMPOTENT = "single-use"
 
 
@@ -87,7 +87,7 @@
     """A change in a gateway's state of a volume."""
 
     STARTED = "started"
-    """The volume's first operation, or the first since the volume was forgotten."""
+    """It was not known, or forgotten."""
     USAGE_REPORTED = "usage_reported"
     """Answers began to contain the fleet's usage."""
     USAGE_MISSING = "usage_missing"
@@ -95,7 +95,7 @@
     SPLIT_FURTHER = "split_further"
     """A request names more gateways than any before it."""
     FORGOTTEN = "forgotten"
-    """Its state was dropped after a long idle time."""
+    """It was idle for long."""
 
 
 class UpdateKind(StrEnum):
@@ -135,13 +135,13 @@
     """0: no limit."""
     burst: float
     slack: float
-    """Units by which the rule on limits may be exceeded; the scheduler does not use this tolerance."""
+    """Tolerance of the rule on limits, in units; the scheduler does not use it."""
     weight: float
     price: float
 
 
 class RoutePolicy(NamedTuple):
-    """Configured bounds for the operations of one class and plan; the scheduler may apply tighter ones."""
+    """Configured bounds for operations of a class and plan; the scheduler may only tighten them."""
 
     attempt_timeout: Ticks = UNLIMITED
     max_attempts: int = UNLIMITED
@@ -179,17 +179,17 @@
     max_units: float
     """Units of the largest operation."""
     slow_start_units: float
-    """What a node in slow start can take within `slow_start_window` from all gateways together."""
+    """Capacity of a node in slow start within `slow_start_window`, over all gateways."""
     slow_start_window: Ticks
     overload_multiple: float
-    """Load over a whole window, as a multiple of capacity, that overloads a node in slow start."""
+    """Load that overloads a node in slow start over a window, as a multiple of its capacity."""
     initial_capacity: float
     """Minimum fraction of its capacity that a node has when it starts."""
     warm_up_time: Ticks
     usage_period: Ticks
-    """Period of the fleet's usage meter; 0: there is no meter."""
+    """Period of the fleet's usage meter; 0: none."""
     key_cooldown: Ticks
-    """How long no other operation of a key is sent after an attempt that may still run."""
+    """Pause of a key after an attempt that may still run."""
     retry_budget_ratio: float | None
     """Retries per operation within `retry_budget_window`; None: no budget."""
     retry_budget_burst: float
@@ -198,7 +198,7 @@
     """Whether an operation may have two attempts in flight."""
     allows_cancellation: bool = False
     reports_load: bool = False
-    """Whether nodes report their load on request, including the service time at least."""
+    """Whether nodes report their load on request, at least the service time."""
     route_policies: Mapping[tuple[str, str], RoutePolicy] = NO_ROUTE_POLICIES
     """By names of class and plan; all others have `NO_ROUTE_POLICY`."""
 
@@ -245,7 +245,7 @@
 
 
 class AttemptReport(NamedTuple):
-    """The outcome of an attempt, with the usage that the node reported."""
+    """The outcome of an attempt, with usage reported by its node."""
 
     op_id: str
     attempt: int
--- a/rushmux/scheduling/key_serializer.py
+++ b/rushmux/scheduling/key_serializer.py
@@ -15,7 +15,7 @@
         self.cooldowns = {}  # key -> end of its cooldown, oldest first
 
     def accept(self, operation, now):
-        """Returns whether the operation is the first of its key, and the key is not in cooldown."""
+        """Returns whether it is the first of its key, without a cooldown."""
         if not (operation.request_class.ordered and operation.key):
             return True
         queue = self.queues.setdefault(operation.key, deque())
--- a/rushmux/scheduling/node.py
+++ b/rushmux/scheduling/node.py
@@ -21,8 +21,7 @@
         settings = self.settings = scheduler.settings
         self.endpoint, self.reports_load = endpoint, settings.reports_load
         self.in_flight = {}  # (operation, attempt) -> time sent, oldest first
-        # No gateway sees the attempts of others.  Where nodes report load, all gateways together begin with
-        # `MAX_IN_FLIGHT` attempts at a node.
+        # Gateways do not see each other's attempts: with load reports, all together begin with ten.
         even_share = MAX_IN_FLIGHT / settings.gateway_count
         self.limit = ConcurrencyLimit(
             min(INITIAL_LIMIT, even_share) if self.reports_load else INITIAL_LIMIT, False
@@ -32,7 +31,7 @@
         self.max_reported_limit = min(INITIAL_LIMIT, max(REPORTED_LIMIT, even_share))
         self.overload_time = OVERLOAD_FRACTION * settings.shortest_objective
         self.recent_units = deque()  # `SentUnits` within the slow start window
-        self.window_index = self.dither = 0  # number of the slow start window, and its random fraction
+        self.window_index = self.dither = 0  # of the slow start window, and its random fraction
         self.reported_service = self.expected_service = 0  # ticks for a mean operation
         self.saw_late = self.wants_report = False  # since the last request for a report
         self.report_requested_at = -NEVER
@@ -44,7 +43,7 @@
         self.endpoint = endpoint
 
     def on_latency(self, late):
-        """Records whether an attempt was late, for a node whose limit is set by its load reports."""
+        """Records whether an attempt was late, if load reports set the limit."""
         self.saw_late = self.saw_late or late
         self.wants_report = self.wants_report or self.saw_late
 
@@ -54,9 +53,9 @@
         self.recent_units.append(SentUnits(now, -credit))
 
     def on_load_report(self, result, queue, service):
-        """Sets the limit by a load report; without one, a late attempt or a timeout means overload."""
+        """Sets the limit by a report; without one, a late attempt or a timeout means overload."""
         saw_late, self.saw_late = self.saw_late, False
-        load = 0.0  # relative to the overload threshold: above one the node is overloaded
+        load = 0.0  # relative to overload
         if service is not None:
             self.expected_service = min(service, self.reported_service or service)
             self.reported_service = service
@@ -72,11 +71,10 @@
     def slow_start_allowance(self, scheduler, units, now):
         """Returns the units that may still be sent in this slow start window; `NEVER` once the node is warm.
 
-        Gateways do not know of each other and must not overload the node together.  Each uses its share of
-        the node's growing capacity, plus credit for answered units.  The number of gateways assumed to share
-        the node is in proportion to the cells that this gateway uses, but at least that of the volume with
-        the most gateways.  A random fraction of an operation is added, so that shares below one operation
-        are used with the right probability.
+        Gateways do not know of each other and must not overload the node together: each uses its share of the
+        growing capacity, and credit for answered units.  It assumes to share the node with a part of all
+        gateways, equal to the part of all cells that it uses, or with the gateways of its most shared volume.
+        Shares below one operation are used at random.
         """
         settings, age = self.settings, now - self.endpoint.online_since
         window, cells = settings.slow_start_window, scheduler.endpoints.listed_cells
--- a/rushmux/scheduling/pacer.py
+++ b/rushmux/scheduling/pacer.py
@@ -1,4 +1,4 @@
-"""Queues operations by cell and volume, and chooses the next one by buckets, usage and limits."""
+"""Queues operations by cell and volume; chooses the next one by buckets, usage and limits."""
 
 from bisect import insort
 
@@ -10,7 +10,7 @@
 
 
 class Pacer(Stage):
-    """The third stage: holds operations until a node and the limit bucket admit them."""
+    """The third stage: queues operations."""
 
     def __init__(self, scheduler):
         super().__init__(scheduler)
@@ -28,13 +28,13 @@
         return False
 
     def on_result(self, operation, attempt, node, result, now):
-        """Refunds a failed attempt; otherwise a volume with fast errors would seem well served."""
+        """Refunds a failed attempt: fast errors would make a volume seem well served."""
         operation.volume.settle_limit(operation, now, result)
         if result is not AttemptResult.SUCCEEDED:
             operation.volume.charge(-operation.units)
 
     def release_time(self, operation, node, now):
-        """Returns when to check the limit bucket and slow start; now if they admit the operation."""
+        """Returns when to check the limit bucket and slow start; `now` if they admit it."""
         if operation.units > node.slow_start_allowance(self.scheduler, operation.units, now):
             return now + BIN_WIDTH
         return (
@@ -55,7 +55,7 @@
             cell.check_by(reserved_at if reserved_at > now else slack_at)
         if reserved_at > now or len(node.in_flight) >= MAX_IN_FLIGHT:
             return None
-        # For an idle node its load report is a better estimate than past latencies.
+        # For an idle node its report tells more than past latencies.
         latency = 0 if node.reports_load and not node.in_flight else self.scheduler.typical_latency(node)
         due, earliest_deadline, slack, lowest_usage = None, NEVER, None, NEVER
         for volume, queue in list(cell.queues.items()):
@@ -77,8 +77,8 @@
         return due or slack
 
     def _shed_hopeless(self, queue, node, latency, now):
-        # An operation that cannot be in time takes the place of one that can: a late retry, the oldest of a
-        # backlog, or one whose client leaves before the node, by its load report, could finish.
+        # Operations that cannot be in time take the place of others: late retries, the oldest of a backlog,
+        # and those with less time left than the node reports to need.
         while queue:
             expected_latency = latency * (queue[0].arrived_at < now)
             reported_time = node.expected_service * queue[0].units / self.settings.mean_units
--- a/rushmux/scheduling/records.py
+++ b/rushmux/scheduling/records.py
@@ -73,7 +73,7 @@
 
 @dataclass(eq=False, slots=True)
 class Operation:
-    """An operation from its arrival until it has ended and none of its attempts is in flight."""
+    """An operation, until it has ended with nothing in flight."""
 
     request: OperationRequest
     request_class: RequestClass
@@ -98,7 +98,7 @@
     """Nodes by attempt number; two with a hedged request."""
     attempts_started: int = 0
     limit_reserved: float = 0.0
-    """Units reserved in the limit bucket, not known to have reached a node."""
+    """Units reserved in the limit bucket."""
     hedged: bool = False
     hedge_at: Ticks = NEVER
     may_have_run_at: Ticks | None = None
@@ -115,7 +115,7 @@
 
 
 class Stage:
-    """One of the scheduler's steps; operations pass them in order, results in reverse order."""
+    """A step of the scheduler; results pass the steps in reverse order."""
 
     def __init__(self, scheduler: Scheduler):
         self.scheduler = scheduler
@@ -123,7 +123,7 @@
         self.actions = scheduler.actions
 
     def accept(self, operation: Operation, now: Ticks) -> bool:
-        """Returns whether the operation passes to the next stage at once."""
+        """Returns whether the operation may pass to the next stage."""
         raise NotImplementedError
 
     def on_result(self, operation: Operation, attempt, node, result, now: Ticks) -> None:
--- a/rushmux/scheduling/scheduler.py
+++ b/rushmux/scheduling/scheduler.py
@@ -18,7 +18,7 @@
 from rushmux.scheduling.state import SchedulerState
 from rushmux.scheduling.volume import Volume
 
-RETRY_JITTER = 50  # ticks by which a retry's deadline may differ from that of the first try
+RETRY_JITTER = 50  # ticks by which deadlines of a retry and its first try may differ
 POLL_RETRY_FRACTION = 0.1  # of the poll interval: minimum pause after a failed poll
 VOLUME_IDLE_TIME = 600_000  # ticks: a volume idle for so long is forgotten, as volumes come and go for hours
 USAGE_EVENT_INTERVAL = 100_000  # ticks between usage events of one volume, so that they do not flood the log
@@ -60,7 +60,7 @@
         self.limit.size = self.limit.size or self.even_limit()
 
     def even_limit(self):
-        """Returns this gateway's even share of the attempts that all nodes may have in flight."""
+        """Returns this gateway's even share of the attempts at all nodes."""
         sharing_gateways = 1 if self.settings.reports_load else self.settings.gateway_count
         return MAX_IN_FLIGHT * len(self.endpoints.cells) / sharing_gateways
 
@@ -116,12 +116,12 @@
             ended_lately = shortened and now - ended.ended_at <= RETRY_JITTER
             if ended.key == request.key and (request.is_retry or same_deadline or ended_lately):
                 return ended.objective_at
-        # An overdue wake-up shows that this gateway was paused: the operation may have arrived meanwhile.
+        # After a pause of this gateway, shown by an overdue wake-up, the operation may have waited unseen.
         pause_time = max(0, min(now - self.wake.wake_at, request_class.deadline - request.time_left))
         return now + request_class.latency_objective - pause_time
 
     def on_attempt_result(self, now, report):
-        """Processes the result of an attempt; unknown attempts are ignored."""
+        """Processes an attempt's result; unknown attempts are ignored."""
         operation, node = self.take_result(report) or (None, None)
         if operation is None:
             return
@@ -133,7 +133,7 @@
             stage.on_result(operation, report.attempt, node, report.result, now)
         if operation.ended:
             self.forget_or_cancel(operation, now)
-        elif not operation.in_flight:  # otherwise the other attempt may still succeed
+        elif not operation.in_flight:  # else the other may still succeed
             self._retry(operation, node, now)
 
     def _track_usage_reports(self, volume, is_reported, now):
@@ -153,7 +153,7 @@
             self.advance(operation, now)
 
     def on_load_report(self, node, result, queue, service):
-        """Processes a node's load report; values are None if not reported, or if the request failed."""
+        """Processes a node's load report; None: not reported, or the request failed."""
         if node in self.endpoints.nodes:
             self.endpoints.nodes[node].on_load_report(result, queue, service)
             self.recheck_blocked()
--- a/rushmux/scheduling/state.py
+++ b/rushmux/scheduling/state.py
@@ -94,11 +94,11 @@
         self.endpoints = EndpointTable(make_node)
         self.changed_cells: dict[Cell, bool] = {}
         self.blocked_cells: dict[Cell, bool] = {}
-        """Cells whose nodes had no free capacity when they were last checked."""
+        """Cells whose nodes' limits were reached."""
         self.timers, self.wake = TimerQueue(), WakeTimer()
         self.route_policies, self.route_usage = settings.route_policies, {}
         self.quota_shares: dict[str, float] = {}
-        """Assigned shares of volumes' limits; other volumes are split evenly."""
+        """Assigned shares of volumes' limits."""
         self.quota_raised_at: dict[str, Ticks] = {}
         """When a share was last raised: until then a part of it belonged to another gateway."""
         self.stages: tuple[Stage, ...] = ()
@@ -133,7 +133,7 @@
                 return
 
     def schedule_check(self, when: Ticks, operation: Operation) -> None:
-        """Schedules a check of an operation in the first round at or after `when`."""
+        """Schedules a check of an operation for the first round from `when` on."""
         self.timers.add(when, operation)
 
     def mark_changed(self, cells: Iterable[Cell]) -> None:
--- a/rushmux/scheduling/volume.py
+++ b/rushmux/scheduling/volume.py
@@ -13,7 +13,7 @@
 MAX_DEBT = 4  # seconds of the reserve's rate: slack used long ago must not use up the current reserve
 REMOTE_USAGE_AGE = 30_000  # ticks for which a reported rate of other gateways counts: surges last longer
 REACHED_NODE = (AttemptResult.SUCCEEDED, AttemptResult.FAILED)  # results that prove that the node was reached
-REMEMBERED_OPERATIONS = 64  # ended operations by which retries are recognized: some seconds of a surge
+REMEMBERED_OPERATIONS = 64  # ended ones, to recognize retries: some seconds of a surge
 
 
 class Volume:
@@ -26,8 +26,8 @@
         self.reserve_cap = plan.reserve + scheduler.settings.max_units
         self.reserve = self.reserve_cap / self.gateway_count  # all gateways together guarantee it once
         share = scheduler.quota_shares.get(self.name, 1 / self.gateway_count)
-        # A restarted gateway no longer knows its usage, and may restart again and again.  So its share of the
-        # limit starts empty and fills from its start, or from when its quota was last raised.
+        # A restarted gateway no longer knows its usage, and may restart again and again: its share of the
+        # limit is empty at the start, or when the quota was raised, and fills from then on.
         filling_since = scheduler.quota_raised_at.get(self.name, scheduler.started_at)
         self.limit = LimitBucket(plan, share, filling_since, now)
         self.usage = DecayingWindow(BIN_WIDTH, BIN_COUNT, DECAY, now)
@@ -48,7 +48,7 @@
         return True
 
     def event(self, kind):
-        """Returns the event that reports a change of the volume to operators."""
+        """Returns an event for operators."""
         names = self.name, self.plan.name, self.gateway_count
         return VolumeEvent(kind, *names, self.limit.level, self.limit.capacity, self.limit.rate)
 
@@ -66,12 +66,12 @@
         return now - int((self.reserve - units) / self.plan.reserve * SECOND) if self.plan.reserve else NEVER
 
     def reserve_limit(self, operation):
-        """Reserves limit units for an operation's first attempt."""
+        """Reserves units of an operation's first attempt."""
         self.limit.reserve(operation.units)
         operation.limit_reserved = operation.units
 
     def settle_limit(self, operation, now, result=None):
-        """Settles reserved units after an attempt; a `result` of None means that the operation is over."""
+        """Settles reserved units after an attempt; `result` is None if the operation is over."""
         # An attempt that was lost or rejected may not have reached its node, and its retry still may.
         if operation.limit_reserved and (result is None or result in REACHED_NODE):
             self.limit.settle(operation.limit_reserved, now)
@@ -86,7 +86,7 @@
         self.usage.add(units)
 
     def on_usage_meter(self, fleet_usage, remote_usage, period, now):
-        """Processes the usage through other gateways, as an answer reports it (`AttemptReport`)."""
+        """Processes reported usage through other gateways (`AttemptReport`)."""
         self.advance(now)
         # The usage may be missing at any time, so the limit bucket does not depend on it.
         if period and fleet_usage:
--- a/rushmux/settings/deployment.py
+++ b/rushmux/settings/deployment.py
@@ -1,7 +1,6 @@
 """The deployment file: JSON that is validated and converted to records.
 
-`load` reads a file and returns a `Deployment`; `DeploymentError` lists all faults with their places.  The
-scheduler uses only the `SchedulerSettings`; the rest is for sessions and files.
+The scheduler uses only the `SchedulerSettings`; the rest is for sessions and files.
 """
 
 import copy
@@ -24,7 +23,7 @@
 
     Attributes:
         source: The origin of the file, for the message.
-        faults: Pairs of a place in the file and what is wrong there.
+        faults: Places in the file with what is wrong there.
         findings: The verifier's findings among the faults.
     """
 
@@ -41,7 +40,7 @@
 
 
 class SessionLimits(NamedTuple):
-    """Limits of client sessions, per session except for `max_sessions`; times in seconds."""
+    """Limits of client sessions; times in seconds."""
 
     request_timeout: float
     max_sessions: int
@@ -79,12 +78,12 @@
     planner_quotas: bool
     """Whether planners assign the shares of limits."""
     planner_policy: bool
-    """Whether planners decide the sections of `policy.POLICY_SECTIONS` for the whole fleet."""
+    """Whether planners decide the fleet policy (`settings.policy`)."""
     bounds: route_bounds.Bounds
-    """The bounds that the routes were verified against."""
+    """The bounds for the verification of routes."""
     routes: list[resolve.ResolvedRoute]
     raw: dict
-    """The unchanged contents of the file."""
+    """The file's object, unchanged."""
 
     def units(self, size: int) -> float:
         """Returns the units of an operation that transfers `size` bytes."""
@@ -107,10 +106,10 @@
     Args:
         raw: The file's object.
         source: The origin of the file, for messages.
-        reject_findings: Whether findings of the verifier are faults; the lab accepts files that have some.
+        reject_findings: Whether the verifier's findings are faults; they are not in the lab.
 
     Raises:
-        DeploymentError: The file has faults; it lists all of them.
+        DeploymentError: The file has faults; all are listed.
     """
     faults, rows = check(raw)
     if rows is None:
--- a/rushmux/settings/deployment_checks.py
+++ b/rushmux/settings/deployment_checks.py
@@ -1,6 +1,6 @@
-"""Validation of a deployment file by its schema, and by rules that a schema cannot express.
+"""Validation of a deployment file, by its schema and by rules that a schema cannot express.
 
-A fault is a place like `/plans/basico/limit` with what is wrong there, in the terms of the file.
+A fault is a place like `/plans/basico/limit` and what is wrong there, in the file's terms.
 """
 
 import json
@@ -14,7 +14,7 @@
 from rushmux.routes import resolve
 
 SCHEMA = json.loads(Path(__file__).with_name("schema.json").read_text())
-ANSWER_MS = 100  # time that a session needs to answer after an operation's deadline
+ANSWER_MS = 100  # time to answer after an operation's deadline
 
 Fault = tuple[str, str]
 
@@ -39,7 +39,7 @@
 
     faults: list[Fault]
     routes: list[dict] | None
-    """None: the file violates the schema outside its routes, so no further checks are possible."""
+    """None: the schema is violated outside the routes, so no further checks are possible."""
 
 
 def check(raw: Any) -> CheckResult:
@@ -62,7 +62,7 @@
 
 
 def _route_index(error: jsonschema.ValidationError) -> int | None:
-    """Returns the index of the route that an error is in, or None if it is elsewhere."""
+    """Returns the index of the route that has the error, if any."""
     path = error.absolute_path
     return path[1] if len(path) > 1 and path[0] == "routes" else None
 
--- a/rushmux/settings/migration.py
+++ b/rushmux/settings/migration.py
@@ -1,15 +1,14 @@
 """Converts a deployment file of the old kind to the new kind.
 
 In new deployments nodes report their load on request, the fleet has a usage meter, operations may be ordered
-by key, and plans may lack reserves and hedged requests.  `migrate` returns the new file's object and what
-could not be carried over.  No I/O.
+by key, and there may be no reserves and no hedged requests.  No I/O.
 """
 
 import copy
 from typing import NamedTuple
 
 Leftover = tuple[str, str]
-"""A place in the file, and how its content was dropped or why it needs a review."""
+"""A place in the file, and what was dropped or needs a review there."""
 
 
 class TargetShape(NamedTuple):
@@ -25,7 +24,7 @@
 
 
 def migrate(raw: dict, shape: TargetShape) -> tuple[dict, list[Leftover]]:
-    """Returns the new file's object for a valid `raw`, and what could not be carried over."""
+    """Returns the new object for a valid `raw`, and what could not be carried over."""
     new, leftovers = copy.deepcopy(raw), []
     fleet = new["fleet"]
     fleet["load"] = shape.load
--- a/rushmux/settings/policy.py
+++ b/rushmux/settings/policy.py
@@ -1,7 +1,6 @@
 """The policy: the part of a deployment file that the fleet decides in common.
 
-Serializes it, merges it into a deployment, and tells which changes need a restart of an edge.  No I/O.  The
-text is JSON with sorted keys, so that equal policies have equal checksums everywhere.
+Its text is JSON with sorted keys, so that equal policies have equal checksums everywhere.  No I/O.
 """
 
 import copy
@@ -15,7 +14,7 @@
 
 
 def serialize(raw: dict) -> str:
-    """Returns the text of the policy in a file's object."""
+    """Returns the policy in a file's object as text."""
     return json.dumps(
         {name: raw[name] for name in POLICY_SECTIONS if name in raw},
         sort_keys=True,
@@ -38,7 +37,7 @@
     """Returns the deployment `own` with the sections of a policy.
 
     Raises:
-        DeploymentError: The policy or the result has faults; it lists all of them.
+        DeploymentError: The policy or the result has faults; all are listed.
     """
     try:
         decided = json.loads(policy)
--- a/rushmux/wirehost/host.py
+++ b/rushmux/wirehost/host.py
@@ -118,11 +118,7 @@
         }
 
     def serve(self, source: Iterable[bytes], sink: BinaryIO) -> None:
-        """Responds line by line.
-
-        Raises:
-            MalformedInputError: A line could not be read; the message has its number.
-        """
+        """Responds line by line; MalformedInputError has the number of a line that cannot be read."""
         for number, line in enumerate(source, 1):
             try:
                 batch = orjson.loads(line)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures, among them a runner of scenarios in the notation of tests/scenarios/README.md."""
+"""Shared fixtures, and the runner of scenarios in the notation of tests/scenarios/README.md."""
 
 import os
 import time
@@ -46,7 +46,7 @@
 
 @pytest.fixture(scope="session", autouse=True)
 def no_process_is_left_behind():
-    """Checks at the end that all processes that the tests started, directly or indirectly, have exited."""
+    """Checks at the end that all processes started by tests, directly or not, have exited."""
     name, value = RUN_MARKER.split("=")
     os.environ[name] = value
     yield
@@ -137,7 +137,7 @@
 
 
 def parse_fields(words, defaults):
-    """Parses `name=value` words to the types of their defaults, and fills in missing fields."""
+    """Parses `name=value` words, typed by the defaults, which fill in for missing ones."""
     fields = dict(defaults)
     for word in words:
         name, value = word.split("=")
@@ -147,7 +147,7 @@
 
 
 class ScenarioRunner:
-    """Runs a scenario: its methods are the steps of the notation, and it records the scheduler's actions."""
+    """Runs the steps of a scenario, which are its methods, and records the scheduler's actions."""
 
     def __init__(self):
         self.now, self.scheduler, self.actions, self.wake_times, self.timeouts = 0, None, [], [], {}
