--- a/rushmux/buffer/batch_writer.py
+++ b/rushmux/buffer/batch_writer.py
@@ -288,7 +288,7 @@
             change.put_file(
                 file,
                 rows.version,
-                rows.file._replace(size=size, mtime=self.file_system.calendar(), batch_stamp=stamp),
+                rows.file._replace(size=size, mtime=self.file_system.wall_clock(), batch_stamp=stamp),
             )
             for number, before in rows.blocks.items():
                 change.put_block(file, number, before, blocks[file, number])
--- a/rushmux/edge/directories.py
+++ b/rushmux/edge/directories.py
@@ -174,7 +174,7 @@
     async def _empty(self, runner: OperationRunner, found: ResolvedName) -> ResolvedName | None:
         """Gives a file new data of no bytes; None where others changed the file."""
         file_system = self.file_system
-        now = file_system.calendar()
+        now = file_system.wall_clock()
         file = found.file._replace(size=0, mtime=now, data_id=file_system.unique_name(), batch_stamp="")
         key = layout.file_key(found.file_id)
         change = RowChange(
--- a/rushmux/edge/edge.py
+++ b/rushmux/edge/edge.py
@@ -179,7 +179,7 @@
         verdict = compare(self.deployment, deployment)
         if not verdict.accepted:
             return self._reject_reload(list(verdict.rejection_reasons))
-        self.take_over(deployment)
+        self.apply_deployment(deployment)
         changed = list(verdict.changed[:MAX_LISTED_ITEMS])
         self.log.info("routes.reloaded", changed=changed, count=len(verdict.changed))
         return True
@@ -188,7 +188,7 @@
         self.log.error("routes.reload_rejected", faults=faults)
         return False
 
-    def take_over(self, deployment: Deployment) -> None:
+    def apply_deployment(self, deployment: Deployment) -> None:
         """Applies another deployment's route policies; earlier operations keep theirs."""
         self.deployment = deployment
         self.driver.update_route_policies(deployment)
--- a/rushmux/edge/endpoint_cache.py
+++ b/rushmux/edge/endpoint_cache.py
@@ -1,6 +1,6 @@
 """The last endpoint list that an edge was sent, cached on disk for a start with no planner to ask.
 
-One file, replaced atomically: a magic word, a format, a checksum, the calendar time, and the list as the
+One file, replaced atomically: a magic word, a format, a checksum, the wall clock time, and the list as the
 wire has it.  What cannot be read counts as no list at all and is logged.
 """
 
@@ -19,7 +19,7 @@
 from rushmux.scheduling.interface import EndpointState
 
 MAGIC, FORMAT = b"rmll", 1
-HEADER = struct.Struct(">4sHId")  # magic, format, checksum of the rest, calendar seconds
+HEADER = struct.Struct(">4sHId")  # magic, format, checksum of the rest, seconds since 1970
 SAVED_AT = struct.Struct(">d")
 MAX_FILE_BYTES = 8 << 20  # far above any list
 MAX_AGE = 7 * 86_400.0  # seconds: an older list says nothing about today's nodes
@@ -49,11 +49,11 @@
 
     Attributes:
         path: The file; the constructor does not open it.
-        calendar: Gives seconds since 1970.
+        wall_clock: Returns seconds since 1970.
     """
 
-    def __init__(self, path: str | Path, calendar: Callable[[], float], log):
-        self.path, self.calendar, self.log = Path(path), calendar, log
+    def __init__(self, path: str | Path, wall_clock: Callable[[], float], log):
+        self.path, self.wall_clock, self.log = Path(path), wall_clock, log
         self.cell_count, self.version = 0, 0
         self.entries: dict[str, messages.Entry] = {}
 
@@ -67,7 +67,7 @@
             if entry.condition != EndpointState.REMOVED:
                 self.entries[entry.node] = entry
         try:
-            atomic_write.replace_file(self.path, self._encode(self.calendar()))
+            atomic_write.replace_file(self.path, self._encode(self.wall_clock()))
         except OSError as error:
             self.log.warning("endpoint_cache.write_failed", reason=str(error))
 
@@ -87,7 +87,7 @@
         except (OSError, EndpointCacheError) as error:
             self.log.warning("endpoint_cache.read_failed", reason=str(error))
             return None
-        listing, age = cached.listing, self.calendar() - cached.saved_at
+        listing, age = cached.listing, self.wall_clock() - cached.saved_at
         if not 0 <= age <= MAX_AGE:
             self.log.warning("endpoint_cache.expired", age=round(age))
             return None
--- a/rushmux/edge/file_attributes.py
+++ b/rushmux/edge/file_attributes.py
@@ -115,7 +115,7 @@
             size = max(size, first_block * file.block_size)
             file = file._replace(size=size)
             garbage = await self._cut_blocks(runner, file_id, file, first_block, change)
-        file = file._replace(size=size, mtime=self.file_system.calendar(), batch_stamp="")
+        file = file._replace(size=size, mtime=self.file_system.wall_clock(), batch_stamp="")
         change.puts.insert(0, (key, layout.pack_file(file)))
         if garbage:
             change.puts.append(self.file_system.garbage_objects_row(garbage))
--- a/rushmux/edge/file_system.py
+++ b/rushmux/edge/file_system.py
@@ -15,7 +15,7 @@
     Attributes:
         settings: How files are cut.
         unique_name: Gives a name never used before.
-        calendar: Gives whole seconds since 1970.
+        wall_clock: Returns whole seconds since 1970.
         schedule_collection: Called with each folder where a change made garbage.
     """
 
@@ -23,15 +23,15 @@
         self,
         settings: FileSettings,
         unique_name: Callable[[], str],
-        calendar: Callable[[], int],
+        wall_clock: Callable[[], int],
         schedule_collection: Callable[[str], None],
     ):
-        self.settings, self.unique_name, self.calendar = settings, unique_name, calendar
+        self.settings, self.unique_name, self.wall_clock = settings, unique_name, wall_clock
         self.schedule_collection = schedule_collection
 
     def new_file(self, mode: int) -> FileRow:
         """Row of an empty file."""
-        now, data_id = self.calendar(), self.unique_name()
+        now, data_id = self.wall_clock(), self.unique_name()
         return FileRow(
             FileKind.FILE,
             mode & PERMISSION_BITS,
@@ -43,7 +43,7 @@
 
     def new_directory(self, mode: int) -> FileRow:
         """Row of an empty directory."""
-        now = self.calendar()
+        now = self.wall_clock()
         return FileRow(FileKind.DIRECTORY, mode & PERMISSION_BITS, mtime=now, atime=now)
 
     def garbage_objects_row(self, objects: Sequence[tuple[int, str]]) -> tuple[str, bytes]:
--- a/rushmux/edge/group_commit.py
+++ b/rushmux/edge/group_commit.py
@@ -136,7 +136,7 @@
             return None
         size = max([file.size, *(write.end for write in batch)])
         # Without a stamp: an edge that recovers older buffered writes must not take this for its own batch.
-        file = file._replace(size=size, mtime=self.file_system.calendar(), batch_stamp="")
+        file = file._replace(size=size, mtime=self.file_system.wall_clock(), batch_stamp="")
         change.checks += blocks.checks
         change.puts = [(key, layout.pack_file(file)), *blocks.puts]
         if blocks.garbage:
--- a/rushmux/edge/policy_client.py
+++ b/rushmux/edge/policy_client.py
@@ -96,7 +96,7 @@
                 "policy.not_applicable", version=member.rejected.version, reason=member.rejected.reason
             )
         if member.active_version != version_before:
-            self._take_over()
+            self._apply_active_policy()
         self._apply()
 
     def _on_lease_renewed(self) -> None:
@@ -106,11 +106,11 @@
         # The lease may end while nothing else happens here.
         self.lease_timer = self.loop.call_at(self.member.lease_expiry, self._apply)
 
-    def _take_over(self) -> None:
+    def _apply_active_policy(self) -> None:
         """Another version is active: operations from now on belong to it, earlier ones keep theirs."""
         active = self.member.active
         source = f"policy {active.version}"
-        self.edge.take_over(documents.merge(self.edge.own_deployment, active.text, source))
+        self.edge.apply_deployment(documents.merge(self.edge.own_deployment, active.text, source))
 
     def _may_serve(self) -> bool:
         # An edge that stood still wakes with its lease over, and its sockets are read before its timers run.
