--- a/rushmux/edge/block_io.py
+++ b/rushmux/edge/block_io.py
@@ -1,4 +1,4 @@
-"""Reads and writes the bytes of blocks: extents to objects and back."""
+"""Reads and writes file blocks, whose extents are stored as objects."""
 
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
@@ -9,28 +9,28 @@
 
 
 class BlockPart(NamedTuple):
-    """A range of one block that is to be read."""
+    """A range of one block to read."""
 
     block_offset: int
-    """Where the block begins in what is read; negative: before it."""
+    """Offset of the block's start in the result; negative if the block starts before it."""
     extents: Sequence[Extent]
     start: int
     length: int
 
 
 class BlockExtent(NamedTuple):
-    """An extent of a block that a write made."""
+    """An extent that a write created, and the number of its block."""
 
     number: int
     extent: Extent
 
 
 async def read_parts(runner: OperationRunner, length: int, parts: Iterable[BlockPart]) -> bytes:
-    """`length` bytes put together from parts of blocks; what no extent covers is zeros.
+    """Reads `length` bytes that span parts of blocks; bytes that no extent covers are zero.
 
     Raises:
-        ObjectMissingError: An object is not there.
-        ObjectCorruptedError: An object came back other than it was written.
+        ObjectMissingError: An object does not exist.
+        ObjectCorruptedError: An object's bytes differ from those written.
     """
     wanted = [
         (part.block_offset + extent.start, extent)
@@ -52,7 +52,7 @@
 
 
 async def compact_block(runner: OperationRunner, extents: Sequence[Extent]) -> Extent:
-    """Writes a block of many extents anew as one object; the extent that replaces them."""
+    """Rewrites a block as one object and returns the extent that replaces the given ones."""
     end = max(extent.end for extent in extents)
     data = await read_parts(runner, end, [BlockPart(0, extents, 0, end)])
     stored = await runner.write_object(data)
@@ -62,7 +62,7 @@
 async def write_blocks(
     runner: OperationRunner, offset: int, data: bytes, block_size: int
 ) -> list[BlockExtent]:
-    """Writes bytes from an offset of a file on as new objects, one for each block that they touch."""
+    """Writes data at a file offset as new objects, one for each block it touches."""
     ranges = list(layout.split_by_block(offset, len(data), block_size))
     position, pieces = 0, []
     for block_range in ranges:
--- a/rushmux/edge/directories.py
+++ b/rushmux/edge/directories.py
@@ -1,7 +1,8 @@
-"""Names of a folder's files and directories, as operations on the folder's home cell.
+"""Names of a folder's files and directories, stored as rows in the folder's home cell.
 
-Every change carries checks on the rows that it was decided by, so that two edges that change one folder at
-once lose nothing: a check that fails is followed by a fresh look, a few times.
+Concurrency is optimistic: every change checks the versions of the rows it is based on, so that two edges that
+change one folder concurrently lose nothing.  If a check fails, the rows are read again and the change is
+retried a few times.
 """
 
 from functools import partial
@@ -23,36 +24,36 @@
 from rushmux.nodewire import messages
 from rushmux.sftp import packets as sftp
 
-PAGE_SIZE = 100  # entries in one answer to READDIR: some 10 KiB
-DEFAULT_FILE_MODE = 0o644  # of a file whose client states none
+PAGE_SIZE = 100  # entries in one READDIR reply: about 10 KiB
+DEFAULT_FILE_MODE = 0o644  # for clients that send no mode
 DEFAULT_DIRECTORY_MODE = 0o755
 
 
 class ResolvedName(NamedTuple):
-    """What a name means: its rows and their versions (0: no row)."""
+    """The rows that a name refers to, and their versions (0: no row)."""
 
     parent_id: str
     name: str
     file_id: str
-    """"" where nothing has the name."""
+    """Empty if nothing has the name."""
     file: FileRow | None
     entry_version: int = 0
     file_version: int = 0
     ancestor_checks: tuple[messages.Check, ...] = ()
-    """That the entries leading to the parent are unchanged."""
+    """Checks that the entries on the path to the parent are unchanged."""
 
     @property
     def is_directory(self) -> bool:
-        """Whether the name means a directory."""
+        """Whether the name refers to a directory."""
         return self.file is not None and self.file.kind is FileKind.DIRECTORY
 
     @property
     def entry_key(self) -> str:
-        """Key of its entry, which may not be there."""
+        """Key of the name's entry, whether or not the entry exists."""
         return layout.entry_key(self.parent_id, self.name)
 
     def parent_checks(self) -> list[messages.Check]:
-        """That its parent is there; the root of a folder always is."""
+        """Checks that the parent exists; the root of a folder always does."""
         return [check_exists(layout.file_key(self.parent_id))] if self.parent_id != ROOT else []
 
 
@@ -65,7 +66,7 @@
 
 
 class DirectoryPage(NamedTuple):
-    """Some entries of a directory, and the key to continue after ("": that was all)."""
+    """Some entries of a directory, and the key to continue after (empty: no more entries)."""
 
     entries: list[ListedEntry]
     next_key: str
@@ -80,24 +81,24 @@
 
 
 class DirectoryTree:
-    """The names of all folders, as one edge reaches them.
+    """Looks up and changes names in all folders.
 
-    Where others change the same names again and again, each change raises ContentionError.
+    A change raises ContentionError if concurrent changes of the same names make every attempt fail.
     """
 
     def __init__(self, file_system: FileSystem):
         self.file_system = file_system
 
     async def resolve(self, runner: OperationRunner, names: Names) -> ResolvedName:
-        """What the names mean; the last may mean nothing.
+        """Looks up a path; its last name need not exist.
 
         Raises:
-            RequestRejectedError: A directory on the way is missing or is a file.
+            RequestRejectedError: A directory on the path is missing or is a file.
         """
         if not names:
             return ResolvedName("", "", ROOT, FileRow(FileKind.DIRECTORY, DEFAULT_DIRECTORY_MODE))
         rows = (await runner.read_rows("/".join(names), path=names)).rows
-        # The answer holds an entry's row and the file's row for each name, as far as the path leads.
+        # The reply holds an entry row and a file row for each name, up to the first name that does not exist.
         parent_id, checks = ROOT, []
         for depth in range(len(names) - 1):
             if 2 * depth + 1 >= len(rows):
@@ -105,7 +106,7 @@
             entry, file_row = rows[2 * depth], rows[2 * depth + 1]
             if layout.unpack_file(file_row.value).kind is not FileKind.DIRECTORY:
                 path = "/".join(names[: depth + 1])
-                raise RequestRejectedError(sftp.NO_SUCH_FILE, f"{path} is no directory")
+                raise RequestRejectedError(sftp.NO_SUCH_FILE, f"{path} is not a directory")
             parent_id = layout.unpack_entry(entry.value).file_id
             checks.append(check_version(entry.key, entry.version))
         if 2 * len(names) > len(rows):
@@ -122,7 +123,7 @@
         )
 
     async def resolve_existing(self, runner: OperationRunner, names: Names) -> ResolvedName:
-        """As `resolve`, and RequestRejectedError where nothing has the name."""
+        """Like `resolve`, but raises RequestRejectedError if nothing has the name."""
         found = await self.resolve(runner, names)
         if found.file is None:
             raise _no_such_file(names)
@@ -131,7 +132,7 @@
     async def open(
         self, runner: OperationRunner, names: Names, flags: int, attributes: sftp.Attributes
     ) -> ResolvedName:
-        """The file to open, created or emptied as the SFTP flags say."""
+        """Looks up a file to open, and creates or truncates it according to the SFTP flags."""
         attempt = partial(self._try_open, runner, names, flags, attributes)
         return await retry_on_conflict(runner, "/".join(names), attempt)
 
@@ -149,13 +150,13 @@
         if found.is_directory:
             raise _rejected(names, "is a directory")
         if flags & sftp.TRUNCATE and found.file.size:
-            return await self._empty(runner, found)
+            return await self._truncate(runner, found)
         return found
 
     async def _create(
         self, runner: OperationRunner, found: ResolvedName, file: FileRow
     ) -> ResolvedName | None:
-        """Puts a new file or directory where nothing is; None where that has changed."""
+        """Creates a file or directory; returns None if the name or its parent has changed."""
         file_id = self.file_system.unique_name()
         change = RowChange(
             checks=[*found.parent_checks(), check_version(found.entry_key, 0)],
@@ -171,8 +172,8 @@
             file_id=file_id, file=file, entry_version=rows[0].version, file_version=rows[1].version
         )
 
-    async def _empty(self, runner: OperationRunner, found: ResolvedName) -> ResolvedName | None:
-        """Gives a file new data of no bytes; None where others changed the file."""
+    async def _truncate(self, runner: OperationRunner, found: ResolvedName) -> ResolvedName | None:
+        """Gives a file a new, empty data id; returns None if the file has changed."""
         file_system = self.file_system
         now = file_system.wall_clock()
         file = found.file._replace(size=0, mtime=now, data_id=file_system.unique_name(), batch_stamp="")
@@ -190,7 +191,7 @@
     async def make_directory(
         self, runner: OperationRunner, names: Names, attributes: sftp.Attributes
     ) -> None:
-        """Makes an empty directory where nothing is."""
+        """Creates an empty directory under an unused name."""
         mode = DEFAULT_DIRECTORY_MODE if attributes.mode is None else attributes.mode
 
         async def attempt():
@@ -224,7 +225,7 @@
     async def _try_remove_directory(self, runner: OperationRunner, names: Names) -> bool | None:
         found = await self.resolve_existing(runner, names)
         if not found.is_directory:
-            raise _rejected(names, "is no directory")
+            raise _rejected(names, "is not a directory")
         keys = layout.entry_keys(found.file_id)
         outcome = await runner.read_rows(found.file_id, after=keys.after, below=keys.below, most=1)
         if outcome.rows:
@@ -241,7 +242,7 @@
         )
 
     async def rename(self, runner: OperationRunner, names: Names, target: Names, replace: bool) -> None:
-        """Moves a name within the folder; `replace`: over a file, or an empty directory, in one step."""
+        """Moves a name within the folder; with `replace`, atomically over a file or an empty directory."""
         attempt = partial(self._try_rename, runner, names, target, replace)
         await retry_on_conflict(runner, "/".join(names), attempt)
 
@@ -253,7 +254,7 @@
         if source.file_id == destination.file_id:
             return True
         if source.is_directory and target[: len(names)] == names:
-            raise RequestRejectedError(sftp.FAILURE, "a directory cannot go below itself")
+            raise RequestRejectedError(sftp.FAILURE, "a directory cannot be moved into itself")
         change = self._move(source, destination)
         if destination.file is not None:
             if not replace:
@@ -261,7 +262,7 @@
             self._add_replacement(change, source, destination)
         if await runner.change_rows(source.file_id, change) is None:
             return None
-        if len(change.puts) > 1:  # garbage
+        if len(change.puts) > 1:  # the second one is a garbage row
             self.file_system.schedule_collection(runner.folder)
         return True
 
@@ -277,14 +278,14 @@
             drops=[source.entry_key],
         )
         if source.is_directory:
-            # The way to the new place must not change meanwhile, or a directory could end below itself.
+            # Concurrent moves on the destination path could otherwise put a directory below itself.
             change.checks += destination.ancestor_checks
         return change
 
     def _add_replacement(self, change: RowChange, source: ResolvedName, destination: ResolvedName) -> None:
-        """Has a change drop what the destination was."""
+        """Adds the removal of the destination to a change."""
         if destination.is_directory != source.is_directory:
-            raise RequestRejectedError(sftp.FAILURE, "a directory and a file do not replace each other")
+            raise RequestRejectedError(sftp.FAILURE, "a directory and a file cannot replace each other")
         change.drops.append(layout.file_key(destination.file_id))
         if destination.is_directory:
             change.checks.append(check_empty(layout.entry_keys(destination.file_id)))
@@ -292,7 +293,7 @@
             change.puts.append(self.file_system.garbage_data_row(destination.file.data_id))
 
     async def list_entries(self, runner: OperationRunner, directory_id: str, after: str) -> DirectoryPage:
-        """Up to PAGE_SIZE entries of a directory past the key `after` ("": from the first)."""
+        """Lists up to PAGE_SIZE entries of a directory after the key `after` (empty: from the first)."""
         keys = layout.entry_keys(directory_id)
         outcome = await runner.read_rows(
             directory_id, after=after or keys.after, below=keys.below, most=PAGE_SIZE
--- a/rushmux/edge/driver.py
+++ b/rushmux/edge/driver.py
@@ -1,6 +1,6 @@
 """The operation driver of an edge: runs operations on storage nodes as the scheduler decides.
 
-It decides nothing.  Ticks are whole tenths of a millisecond of the loop's clock.
+Ticks are tenths of a millisecond on the event loop's clock.
 """
 
 import asyncio
@@ -24,31 +24,31 @@
 from rushmux.scheduling.scheduler import Scheduler
 from rushmux.settings.deployment import Deployment
 
-MAX_OPERATIONS = 20_000  # operations in flight; beyond it they are shed on arrival
-MAX_LOAD_FIGURE = 1e9  # of any figure of a load report: beyond a day of service time
+MAX_OPERATIONS = 20_000  # in flight; operations beyond it are shed on arrival
+MAX_LOAD_VALUE = 1e9  # of any value in a load report: more than a day of service time
 
 
 class EdgeIdentity(NamedTuple):
-    """Who an edge is on every wire: its name, and what differs at each of its starts."""
+    """An edge's name, and an id that differs at each of its starts."""
 
     name: str
     incarnation: str
 
 
 class EdgeOperation(NamedTuple):
-    """An operation: what the scheduler reads of it, and what fills in the message of an attempt."""
+    """An operation: what the scheduler needs to know, and a function that fills in an attempt's message."""
 
     request_class: str
     folder: str
     key: str
     units: float
     cell: int
-    """The cell it must run on; negative: any, since it writes a new object."""
+    """The cell it must run on; negative: any, for a write of a new object."""
     fill: Callable[[messages.Execute], None]
 
 
 class OperationResult(NamedTuple):
-    """What a node answered, the cell it was asked in, and other cells where it may have been done."""
+    """A node's outcome, the node's cell, and other cells where the operation may also have been done."""
 
     outcome: messages.Outcome
     cell: int
@@ -56,23 +56,22 @@
 
 
 class PolicyVersion(NamedTuple):
-    """Numbers of the fleet's policy: the active one, and the newest whose limits the edge respects."""
+    """Versions of the fleet's policy: the active one, and the newest one whose limits the edge respects."""
 
     active: int
     newest: int
 
 
 class EdgeDriver(OperationDriver):
-    """The scheduler and what it acts upon, for one start of an edge.
+    """Connects the scheduler to storage nodes, for one start of an edge.
 
     Attributes:
         endpoint_table: The storage nodes.
-        policy_version: What operations submitted from now on belong to.
-        may_serve: Called before each operation; False sheds it.
+        policy_version: Assigned to each operation when it is submitted.
+        may_serve: Called before each operation; the operation is shed if it returns False.
         on_demand: Called with the folder and the units of each operation.
-        on_fenced: Called with the floor of a node that rejects this edge's policy version.
-        on_orphaned_object: Called with the folder, the cell and the name of each object that no name will
-            point at.
+        on_fenced: Called with the lowest policy version that a node accepts, when it rejects this edge's.
+        on_orphaned_object: Called with the folder, cell and name of each object that no row will refer to.
     """
 
     def __init__(
@@ -92,35 +91,35 @@
         self.operation_count = self.name_count = 0
         self.endpoint_table = EndpointTable(self, connections, log)
         self.policy_version = PolicyVersion(0, 0)
-        self.policy_versions: dict[str, PolicyVersion] = {}  # operation -> what it belongs to
-        self.cells_tried: dict[str, dict[int, bool]] = {}  # operation -> where an attempt may have run
+        self.policy_versions: dict[str, PolicyVersion] = {}  # by operation id
+        self.cells_tried: dict[str, dict[int, bool]] = {}  # operation id -> cells where it may have run
         self.quota_shares: dict[str, float] = {}  # folder -> share of its limit
-        self.limit_scales: dict[str, float] = {}  # folder -> factor by which the policy moves its limit
+        self.limit_scales: dict[str, float] = {}  # folder -> factor that the policy applies to its limit
         self.may_serve: Callable[[], bool] = lambda: True
         self.on_demand: Callable[[str, float], None] = lambda folder, units: None
         self.on_fenced: Callable[[int], None] = lambda floor: None
         self.on_orphaned_object: Callable[[str, int, str], None] = lambda folder, cell, name: None
 
     def unique_name(self) -> str:
-        """A name never used before, by this start or another."""
+        """Returns a name that this and all other starts of the edge use only once."""
         self.name_count += 1
         return f"{self.name}.{self.identity.incarnation}.{self.name_count}"
 
-    # Changes of settings while it runs.
+    # Settings changes at run time.
 
     def update_route_policies(self, deployment: Deployment) -> None:
-        """Takes over a deployment's route policies; earlier operations keep theirs."""
+        """Applies a deployment's route policies to new operations; operations in flight keep theirs."""
         self.deployment = deployment
         policies = deployment.settings.route_policies
         self.enqueue(lambda now: self.call_scheduler(None, self.scheduler.on_route_policies, policies))
 
     def set_quota_share(self, folder: str, share: float) -> None:
-        """Applies a quota of a folder, as a share of its limit, from the next round on."""
+        """Sets a folder's quota, as a share of its limit, from the next round on."""
         self.quota_shares[folder] = share
         self._apply_quota(folder)
 
     def set_limit_scales(self, scales: dict[str, float]) -> None:
-        """Applies limits other than the scheduler was built with: a factor for each folder."""
+        """Scales the limits that the scheduler was built with, by a factor for each folder."""
         self.limit_scales.update(scales)
         for folder in scales:
             self._apply_quota(folder)
@@ -133,7 +132,7 @@
     # Operations.
 
     async def execute(self, operation: EdgeOperation, timeout: float, tag: str) -> OperationResult:
-        """Has one operation done within `timeout` seconds; `tag` ends its id.
+        """Runs one operation within `timeout` seconds; its id ends with `tag`.
 
         Raises:
             OperationShedError: It was not done.
@@ -183,17 +182,17 @@
             future.set_exception(OperationFailedError())
 
     def answer_value(self, op_id: str, node: str, value: messages.Outcome) -> OperationResult:
-        """The result of a succeeded operation."""
+        """Returns the result of a succeeded operation."""
         cell = self.endpoint_table.cell_of_node[node]
         other_cells = tuple(other for other in self.cells_tried.get(op_id, ()) if other != cell)
         return OperationResult(value, cell, other_cells)
 
-    # What the scheduler decides (`interface.SchedulerActions`).
+    # Actions of the scheduler (`interface.SchedulerActions`).
 
     def send_attempt(
         self, number: int, node: str, operation: InFlightOperation, timeout: Ticks, latest_start: float
     ) -> PendingRequest | None:
-        """Sends an attempt to its node."""
+        """Sends an attempt to a node."""
         payload: EdgeOperation = operation.payload
         op_id = operation.request.op_id
         version = self.policy_versions[op_id]
@@ -225,30 +224,30 @@
         self.on_reply(op_id, number, reply)
 
     def request_load_report(self, node: str) -> None:
-        """Requests a load report of a node."""
+        """Requests a load report from a node."""
 
         def on_report(result: AttemptResult, load: messages.Load | None) -> None:
             timer.cancel()
             if request is not None:
                 request.drop()
-            self.enqueue(self._tell_load_report, node, result, load)
+            self.enqueue(self._on_load_report, node, result, load)
 
         request = self.connections.request_load_report(node, on_report)
-        # A node that hangs never answers; the scheduler takes it for overloaded when the time is over.
+        # A hung node never answers; on the timeout the scheduler treats it as overloaded.
         timer = self.loop.call_later(
             self.deployment.connect_timeout, on_report, AttemptResult.TIMED_OUT, None
         )
 
-    def _tell_load_report(
+    def _on_load_report(
         self, now: Ticks, node: str, result: AttemptResult, load: messages.Load | None
     ) -> None:
-        queue, service = _load_figure(load, "queue"), _load_figure(load, "service")
+        queue, service = _load_value(load, "queue"), _load_value(load, "service")
         self.call_scheduler(None, self.scheduler.on_load_report, node, result, queue, service)
 
 
-def _load_figure(load: messages.Load | None, name: str) -> float | None:
-    # A node that reports nonsense would move its concurrency limit: what is no sound figure counts as absent.
+def _load_value(load: messages.Load | None, name: str) -> float | None:
+    # Invalid values would distort the node's concurrency limit, so they count as absent.
     if load is None or not load.HasField(name):
         return None
     value = getattr(load, name)
-    return value if 0 <= value < MAX_LOAD_FIGURE else None
+    return value if 0 <= value < MAX_LOAD_VALUE else None
--- a/rushmux/edge/edge.py
+++ b/rushmux/edge/edge.py
@@ -1,4 +1,4 @@
-"""An edge: the program that clients and nodes are connected to, from its start to its end."""
+"""The edge program: wires its parts together, accepts sessions, reloads settings and shuts down."""
 
 import asyncio
 import random
@@ -22,31 +22,31 @@
 from rushmux.settings.deployment import Deployment, DeploymentError
 from rushmux.supervision import Supervisor
 
-BACKLOG = 1_024  # connections that the system queues until they are accepted
-LINGER = 0.2  # seconds for the last replies to leave before connections close
+BACKLOG = 1_024  # connections that the system queues before they are accepted
+LINGER = 0.2  # seconds for the last replies to be sent before connections close
 INCARNATION_BITS = 48
 
 
 class Edge:
-    """One gateway; `open` starts it.
+    """One gateway, started by `open`.
 
     Args:
-        number: Which of the deployment's edges it is.
-        deployment: The deployment of its own file.
-        planner_addresses: Where the endpoint list comes from.
-        seed: Seeds all its random choices; must differ at every start.
-        epoch: Calendar time, in seconds since 1970, at the loop's time 0.
-        log: Receives its events.
-        scheduler_type: Makes the scheduler.
-        make_buffer: Makes a write-back buffer of a driver, a file system and a log; None: there is none.
-        endpoint_cache: The endpoint list of an earlier start; None: none is cached.
-        policy_store: The fleet's policy on disk; None: the deployment's file alone decides.
+        number: The edge's number in the deployment.
+        deployment: The deployment as the edge's own file states it.
+        planner_addresses: The planners that send the endpoint list.
+        seed: Seeds all random choices; must differ at every start.
+        epoch: Wall clock time, in seconds since 1970, at time 0 of the event loop.
+        log: The logger.
+        scheduler_type: Creates the scheduler.
+        make_buffer: Creates a write-back buffer from a driver, a file system and a logger; None: no buffer.
+        endpoint_cache: The endpoint list cached by an earlier start; None: no cache.
+        policy_store: The fleet's policy on disk; None: only the deployment file applies.
 
     Attributes:
-        name: Its name on every wire.
-        incarnation: What differs at each of its starts.
-        on_listing: Called with [node, condition] of each entry of each listing taken in.
-        on_policy_state: Called with each change of its policy state.
+        name: The edge's name in all protocols.
+        incarnation: An id that differs at each start.
+        on_listing: Called with [node, condition] of each entry of each accepted listing.
+        on_policy_state: Called with the new policy state after each change.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self.planner_addresses, self.scheduler_type = planner_addresses, scheduler_type
         self.make_buffer, self.buffer = make_buffer, None
         self.endpoint_cache = endpoint_cache
-        self.own_deployment = deployment  # its file's, whatever the policy makes of it
+        self.own_deployment = deployment  # the file's, without the fleet's policy
         self.policy_store, self.policy_client, self.quota_client = policy_store, None, None
         self.on_listing: Callable[[list], None] = lambda nodes: None
         self.on_policy_state: Callable[[PolicyState], None] = lambda state: None
@@ -81,14 +81,14 @@
         self.supervisor = Supervisor(self.log)
 
     def serves(self, folder: str) -> bool:
-        """Whether clients reach a folder through this edge."""
+        """Whether this edge serves a folder to clients."""
         edges = self.deployment.folders[folder].edges
         return edges is None or self.number in edges
 
     # Start.
 
     async def open(self, host: str, port: int) -> int:
-        """Begins to serve; the port that clients connect to."""
+        """Starts serving and returns the port that clients connect to."""
         stored = StoredPolicies()
         if self.policy_store is not None:
             initial = initial_policy(self.own_deployment, self.policy_store, self.log)
@@ -154,7 +154,7 @@
         for name, run in runs.items():
             self.supervisor.run_restarting(name, run)
 
-    # Changes while it runs.
+    # Changes at run time.
 
     def _on_listing(self, listing: messages.Listing) -> None:
         if not self.driver.endpoint_table.on_listing(listing):
@@ -164,14 +164,14 @@
         self.on_listing([[entry.node, entry.condition] for entry in listing.entries])
 
     def reload(self, read_deployment: Callable[[], Deployment]) -> bool:
-        """Applies the route policies of the deployment that `read_deployment()` gives.
+        """Applies the route policies of the deployment that `read_deployment()` returns.
 
-        A bad file, or one that changes anything else, leaves all policies as they are.  Returns whether they
-        were applied.
+        An invalid file, or one that changes anything else, is rejected as a whole.  Returns whether the file
+        was accepted.
         """
         if self.policy_client is not None:
-            # One edge's file would be one edge's policy.
-            return self._reject_reload(["the fleet decides its policy in common: propose it"])
+            # Otherwise this edge would follow a policy that no other edge has.
+            return self._reject_reload(["the planners decide the fleet's policy: propose the change to them"])
         try:
             deployment = read_deployment()
         except DeploymentError as error:
@@ -189,7 +189,7 @@
         return False
 
     def apply_deployment(self, deployment: Deployment) -> None:
-        """Applies another deployment's route policies; earlier operations keep theirs."""
+        """Applies a deployment's route policies to new operations; operations in flight keep theirs."""
         self.deployment = deployment
         self.driver.update_route_policies(deployment)
 
@@ -210,7 +210,7 @@
             del self.sessions[session]
 
     async def close(self) -> None:
-        """Shuts down gracefully: accepts nothing new, answers what is in flight within the clients' time."""
+        """Shuts down gracefully: rejects new requests, and waits for pending ones within their time limit."""
         self.closing = True
         self.server.close()
         loop = asyncio.get_running_loop()
--- a/rushmux/edge/endpoint_cache.py
+++ b/rushmux/edge/endpoint_cache.py
@@ -1,7 +1,7 @@
-"""The last endpoint list that an edge was sent, cached on disk for a start with no planner to ask.
+"""The last endpoint list that an edge received, cached on disk for a start while no planner is reachable.
 
-One file, replaced atomically: a magic word, a format, a checksum, the wall clock time, and the list as the
-wire has it.  What cannot be read counts as no list at all and is logged.
+The file is replaced atomically.  It holds a magic word, a format number, a checksum, the wall clock time and
+the list as a protobuf message.  A file that cannot be read is logged and ignored.
 """
 
 import struct
@@ -21,12 +21,12 @@
 MAGIC, FORMAT = b"rmll", 1
 HEADER = struct.Struct(">4sHId")  # magic, format, checksum of the rest, seconds since 1970
 SAVED_AT = struct.Struct(">d")
-MAX_FILE_BYTES = 8 << 20  # far above any list
-MAX_AGE = 7 * 86_400.0  # seconds: an older list says nothing about today's nodes
+MAX_FILE_BYTES = 8 << 20  # far larger than any list
+MAX_AGE = 7 * 86_400.0  # seconds; nodes may all have changed since an older list
 
 
 class EndpointCacheError(EdgeError):
-    """A cached list that cannot be used.
+    """The cached list cannot be used.
 
     Attributes:
         path: The file.
@@ -38,14 +38,14 @@
 
 
 class CachedListing(NamedTuple):
-    """A list as it was cached, and when, in seconds since 1970."""
+    """A cached list, and when it was saved, in seconds since 1970."""
 
     listing: messages.Listing
     saved_at: float
 
 
 class EndpointCache:
-    """The file, and the list in it as far as this start of the edge knows it.
+    """Keeps the cache file up to date.
 
     Attributes:
         path: The file; the constructor does not open it.
@@ -58,7 +58,7 @@
         self.entries: dict[str, messages.Entry] = {}
 
     def update(self, listing: messages.Listing) -> None:
-        """Takes in a snapshot or a delta, and writes the whole list."""
+        """Applies a snapshot or a delta, and writes the whole list."""
         if listing.whole:
             self.entries = {}
         self.cell_count, self.version = listing.cells, listing.version
@@ -79,7 +79,7 @@
         return HEADER.pack(MAGIC, FORMAT, checksum, saved_at) + body
 
     def load(self) -> messages.Listing | None:
-        """The cached list with its nodes' ages as of now; None where there is none that can be used."""
+        """Reads the cached list, with the nodes' ages adjusted to now; None: there is no usable list."""
         try:
             cached = self._read()
         except FileNotFoundError:
@@ -107,12 +107,12 @@
             raise EndpointCacheError(self.path, str(error)) from error
         body = data[HEADER.size :]
         if magic != MAGIC or file_format != FORMAT or len(data) > MAX_FILE_BYTES:
-            raise EndpointCacheError(self.path, f"format {file_format}, this edge reads {FORMAT}")
+            raise EndpointCacheError(self.path, f"format is {file_format}; this edge reads format {FORMAT}")
         if zlib.crc32(SAVED_AT.pack(saved_at) + body) != checksum:
-            raise EndpointCacheError(self.path, "its checksum is wrong")
+            raise EndpointCacheError(self.path, "checksum mismatch")
         listing = messages.Listing()
         try:
             listing.ParseFromString(body)
         except DecodeError as error:
-            raise EndpointCacheError(self.path, f"it holds no endpoint list: {error}") from error
+            raise EndpointCacheError(self.path, f"not an endpoint list: {error}") from error
         return CachedListing(listing, saved_at)
--- a/rushmux/edge/endpoint_table.py
+++ b/rushmux/edge/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The storage nodes as this edge knows them: from the endpoint list, and from nodes' own welcomes."""
+"""The storage nodes known to an edge, from the endpoint list and from the nodes' welcome messages."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, NamedTuple
@@ -10,32 +10,32 @@
 if TYPE_CHECKING:
     from rushmux.edge.driver import EdgeDriver
 
-MAX_ENDPOINTS = 10_000  # nodes in a listing: beyond any fleet this is for
-MAX_STARTS = 4  # starts remembered of a node, against late messages about an older one
+MAX_ENDPOINTS = 10_000  # nodes in a listing; larger than any supported fleet
+MAX_STARTS = 4  # starts remembered for each node, to recognize late messages about an older one
 CONDITIONS = frozenset(EndpointState)
 
 
 class DiskSpace(NamedTuple):
-    """Bytes of a node's disk."""
+    """A node's disk space in bytes."""
 
     total: int
     free: int
 
 
 class EndpointTable:
-    """Takes in listings and welcomes, and passes on what changed to the scheduler and the connections."""
+    """Tracks nodes, and passes changes on to the scheduler and the node connections."""
 
     def __init__(self, driver: "EdgeDriver", connections: NodeConnections, log):
         self.driver, self.connections, self.log = driver, connections, log
         self.cell_count = 0
         self.cell_of_node: dict[str, int] = {}
         self.disk_space: dict[str, DiskSpace] = {}
-        self.endpoints: dict[str, Endpoint] = {}  # as the scheduler last received them
-        self.start_times: dict[str, dict[str, Ticks]] = {}  # node -> its starts, oldest first
+        self.endpoints: dict[str, Endpoint] = {}  # as last passed to the scheduler
+        self.start_times: dict[str, dict[str, Ticks]] = {}  # node -> start id -> time, oldest first
         connections.on_welcome = self.on_welcome
 
     def on_listing(self, listing: messages.Listing) -> bool:
-        """Takes in a listing; an implausible one is logged and ignored, and False is returned."""
+        """Applies a listing; returns False if it is implausible and therefore ignored."""
         ready = sum(entry.condition == EndpointState.READY for entry in listing.entries)
         if not self._is_plausible(listing, ready):
             self.log.warning(
@@ -62,8 +62,8 @@
     def _is_plausible(self, listing: messages.Listing, ready: int) -> bool:
         if len(listing.entries) > MAX_ENDPOINTS or not 0 < listing.cells <= MAX_ENDPOINTS:
             return False
-        # A source that has just begun, or went wrong, may know no node.  A snapshot with none that is ready
-        # is not believed while some are; their removals come one by one.
+        # A planner that has just started, or is faulty, may know no nodes.  A snapshot without ready nodes is
+        # therefore ignored while some nodes are ready; nodes that really leave are removed one by one.
         ready_before = sum(endpoint.state is EndpointState.READY for endpoint in self.endpoints.values())
         return bool(ready) or not (listing.whole and ready_before)
 
@@ -92,8 +92,8 @@
             self.disk_space.pop(node, None)
 
     def _online_since(self, node: str, start: str, age: Ticks, now: Ticks) -> Ticks:
-        # When a node started, on this clock, noted once; 0: long ago.  A later start is believed from whoever
-        # reports it first, and an older one no more.
+        # The latest start of a node on this clock; 0: long ago.  Each start's time is fixed when it is first
+        # reported, by the list or by the node.  A start that is not later than the known ones is ignored.
         starts = self.start_times.setdefault(node, {})
         if start not in starts:
             warm = age >= self.driver.deployment.settings.warm_up_time
@@ -105,9 +105,9 @@
         return max(starts.values())
 
     def on_welcome(self, node: str, start: str, age: Ticks) -> None:
-        """A node reported its start and its age as a connection opened.
+        """Handles a node's welcome message, which states its start and its age.
 
-        A node that restarted is cold, and the endpoint list will say so only seconds later.
+        It reveals a restarted, and therefore cold, node seconds before the endpoint list does.
         """
         endpoint = self.endpoints.get(node)
         if endpoint is None:
--- a/rushmux/edge/errors.py
+++ b/rushmux/edge/errors.py
@@ -4,11 +4,11 @@
 
 
 class EdgeError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors that this package raises."""
 
     @property
     def status_text(self) -> str:
-        """What a client's status message quotes of the error."""
+        """The text that a client's status message quotes."""
         return str(self)
 
 
@@ -16,7 +16,7 @@
     """The operation was not done and may be retried.
 
     Attributes:
-        retry_after: Seconds to wait before a retry; 0: no advice.
+        retry_after: Seconds to wait before a retry; 0: unspecified.
     """
 
     def __init__(self, retry_after: float = 0.0):
@@ -42,10 +42,10 @@
 
 
 class RequestRejectedError(EdgeError):
-    """What a client asked for cannot be done; the text says why.
+    """A client's request cannot be done; the text says why.
 
     Attributes:
-        status_code: The SFTP status to answer with, as `sftp.packets` names them.
+        status_code: The SFTP status code of the reply, from `sftp.packets`.
     """
 
     def __init__(self, status_code: int, reason: str):
@@ -54,7 +54,7 @@
 
 
 class ObjectMissingError(EdgeError):
-    """An object that a name points at is not on its node.
+    """An object that a row refers to is not on its node.
 
     Attributes:
         object_name: The object.
@@ -71,7 +71,7 @@
 
 
 class ObjectCorruptedError(EdgeError):
-    """An object's bytes came back other than they were written.
+    """An object's bytes differ from those written.
 
     Attributes:
         object_name: The object.
@@ -83,12 +83,12 @@
 
 
 class ContentionError(RequestRejectedError):
-    """Others changed the same rows at every attempt.
+    """Concurrent changes of the same rows made every attempt fail.
 
     Attributes:
-        what: What was to be changed: a path, or "the file".
+        target: What was to be changed: a path, or "the file".
     """
 
-    def __init__(self, what: str):
-        super().__init__(sftp.FAILURE, f"{what}: others change it at the same time; try again")
-        self.what = what
+    def __init__(self, target: str):
+        super().__init__(sftp.FAILURE, f"{target}: conflicts with concurrent changes; try again")
+        self.target = target
--- a/rushmux/edge/file_attributes.py
+++ b/rushmux/edge/file_attributes.py
@@ -1,4 +1,4 @@
-"""Attributes of files and directories: as clients are shown them, and as they set them."""
+"""Attributes of files and directories: conversion to SFTP, and changes requested by clients."""
 
 import time
 from functools import partial
@@ -11,30 +11,30 @@
 from rushmux.files.layout import FileKind, FileRow
 from rushmux.sftp import packets as sftp
 
-MAX_BLOCKS_PER_CHANGE = 256  # blocks cut off by one change: its message stays far under a frame's bound
+MAX_BLOCKS_PER_CHANGE = 256  # keeps a truncation step's message well below the frame size limit
 ROOT_MODE = 0o755
 
 
 class VersionedFile(NamedTuple):
-    """A file's or a directory's row and its version."""
+    """The row of a file or directory, and its version."""
 
     file: FileRow
     version: int
 
 
 def to_sftp(file: FileRow) -> sftp.Attributes:
-    """The attributes that clients are shown of a file or a directory."""
+    """Converts a file or directory row to SFTP attributes."""
     kind = sftp.DIRECTORY if file.kind is FileKind.DIRECTORY else sftp.REGULAR
     return sftp.Attributes(file.size, file.uid, file.gid, kind | file.mode, file.atime, file.mtime)
 
 
 def root_attributes() -> sftp.Attributes:
-    """The attributes that clients are shown of the root and of each folder."""
+    """Returns the SFTP attributes of the root and of each folder."""
     return sftp.Attributes(0, 0, 0, sftp.DIRECTORY | ROOT_MODE, 0, 0)
 
 
 def long_name(name: str, attributes: sftp.Attributes) -> str:
-    """A line as `ls -l` prints it, which old clients show as it is."""
+    """Formats a line in the style of `ls -l`, which old clients display unchanged."""
     mode = attributes.mode or 0
     kind = "d" if mode & sftp.DIRECTORY == sftp.DIRECTORY else "-"
     permissions = "".join(
@@ -47,7 +47,7 @@
 
 
 class AttributeEditor:
-    """Sets attributes of files, their size among them."""
+    """Sets attributes of files and directories, including the size of files."""
 
     def __init__(self, file_system: FileSystem):
         self.file_system = file_system
@@ -55,11 +55,11 @@
     async def set_attributes(
         self, runner: OperationRunner, file_id: str, attributes: sftp.Attributes
     ) -> VersionedFile:
-        """Sets those attributes that are not None.
+        """Sets the attributes that are not None.
 
         Raises:
-            RequestRejectedError: The file was removed, or cannot have that size.
-            ContentionError: Others change it again and again.
+            RequestRejectedError: The file was removed, or the size is not allowed.
+            ContentionError: Concurrent changes made every attempt fail.
         """
         attempt = partial(self._try_set_attributes, runner, file_id, attributes)
         return await retry_on_conflict(runner, "the file", attempt)
@@ -87,17 +87,17 @@
     @staticmethod
     def _check_size(file: FileRow, size: int) -> None:
         if file.kind is FileKind.DIRECTORY:
-            raise RequestRejectedError(sftp.FAILURE, "a directory has no size")
+            raise RequestRejectedError(sftp.FAILURE, "the size of a directory cannot be set")
         largest = layout.max_file_size(file.block_size)
         if size > largest:
-            raise RequestRejectedError(sftp.FAILURE, f"a size of {size} is over {largest}")
+            raise RequestRejectedError(sftp.FAILURE, f"size {size} exceeds the maximum of {largest}")
 
     async def _resize(
         self, runner: OperationRunner, file_id: str, current: VersionedFile, size: int
     ) -> VersionedFile | None:
-        """Sets a size; None where others changed the file.
+        """Sets a file's size; returns None if the file has changed.
 
-        A large file is cut in steps from its end, each a whole change that leaves a shorter file.
+        A large file is truncated in steps from its end; each is atomic and leaves a valid shorter file.
         """
         while True:
             current = await self._resize_step(runner, file_id, current, size)
@@ -134,7 +134,7 @@
         first_block: int,
         change: RowChange,
     ) -> list[tuple[int, str]]:
-        """Has a change cut the blocks from one on to the file's size; the objects that become garbage."""
+        """Adds to a change the truncation of blocks from `first_block` on; returns the objects it frees."""
         garbage = []
         keys = layout.block_keys(file.data_id, first_block)
         outcome = await runner.read_rows(
--- a/rushmux/edge/file_requests.py
+++ b/rushmux/edge/file_requests.py
@@ -1,4 +1,4 @@
-"""Handlers of requests on files: by handles, and attributes by paths."""
+"""Handlers of requests on open files, and on attributes by path."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class FileRequests:
-    """Opens, reads, writes and closes files, and shows and sets attributes."""
+    """Opens, reads, writes and closes files, and gets and sets attributes."""
 
     def __init__(self, context: RequestContext):
         self.context, self.handles = context, context.handles
@@ -21,11 +21,11 @@
         self.loop = asyncio.get_running_loop()
 
     async def open(self, packet: sftp.Open, runner_for: RunnerFactory) -> sftp.Handle:
-        """Opens a file, created or emptied as its flags say."""
+        """Opens a file, and creates or truncates it according to the flags."""
         self.handles.check_capacity()
         location = self.context.locate_inside(packet.path)
         if not packet.flags & (sftp.READ | sftp.WRITE):
-            raise RequestRejectedError(sftp.BAD_MESSAGE, "a file is opened to read or to write")
+            raise RequestRejectedError(sftp.BAD_MESSAGE, "the flags request neither reading nor writing")
         runner = runner_for(location.folder)
         if packet.flags & sftp.TRUNCATE:
             await self._flush_before_truncation(runner, location.names)
@@ -35,7 +35,7 @@
         return sftp.Handle(packet.request_id, self.handles.add(file))
 
     async def _flush_before_truncation(self, runner: OperationRunner, names: Names) -> None:
-        """Writes out what is buffered of a file: it would come back after the truncation."""
+        """Flushes a file's buffered writes, which would otherwise be applied after the truncation."""
         if self.buffer is None or not self.buffer.writes.folder(runner.folder).byte_count:
             return
         found = await self.tree.resolve(runner, names)
@@ -44,7 +44,7 @@
             await self.buffer.flush(buffered_file, runner)
 
     async def close(self, packet: sftp.Close, runner_for: RunnerFactory) -> sftp.Status:
-        """Closes a handle; what was written by it is readable through any edge then."""
+        """Closes a handle once the data written through it is readable through any edge."""
         opened = self.handles.remove(packet.handle)
         if isinstance(opened, OpenFile):
             try:
@@ -57,7 +57,7 @@
         """Reads a range of an open file."""
         file = self.handles.file(packet.handle)
         if not file.flags & sftp.READ:
-            raise RequestRejectedError(sftp.PERMISSION_DENIED, "the handle is not open to read")
+            raise RequestRejectedError(sftp.PERMISSION_DENIED, "the handle is not open for reading")
         data = await file.read(runner_for(file.folder), packet.offset, packet.length)
         if packet.length and not data:
             return status(packet.request_id, sftp.EOF, "end of file")
@@ -73,20 +73,20 @@
     def _writable_file(self, handle: bytes) -> OpenFile:
         file = self.handles.file(handle)
         if not file.flags & sftp.WRITE:
-            raise RequestRejectedError(sftp.PERMISSION_DENIED, "the handle is not open to write")
+            raise RequestRejectedError(sftp.PERMISSION_DENIED, "the handle is not open for writing")
         return file
 
     async def fsync(
         self, packet: sftp.Extended, fields: sftp.FieldReader, runner_for: RunnerFactory
     ) -> sftp.Status:
-        """Waits until what was written to an open file is readable through any edge."""
-        # Without a buffer, what was answered as written lies on nodes already.
+        """Waits until all data written to an open file is readable through any edge."""
+        # Without a buffer, acknowledged writes are already stored on nodes.
         file = self.handles.file(fields.raw())
         await file.flush(runner_for(file.folder))
         return status(packet.request_id)
 
     async def stat(self, packet: sftp.Stat | sftp.LStat, runner_for: RunnerFactory) -> sftp.Attrs:
-        """Shows the attributes that a path has; there are no links to follow."""
+        """Returns the attributes of a path; as there are no links, `stat` and `lstat` are the same."""
         folder, names = self.context.locate(packet.path)
         if not names:
             return sftp.Attrs(packet.request_id, root_attributes())
@@ -94,7 +94,7 @@
         return sftp.Attrs(packet.request_id, self.context.attributes(folder, found.file_id, found.file))
 
     async def handle_stat(self, packet: sftp.FStat, runner_for: RunnerFactory) -> sftp.Attrs:
-        """Shows the attributes of an open file, looked up anew."""
+        """Returns the current attributes of an open file."""
         file = self.handles.file(packet.handle)
         await file.view.refresh(runner_for(file.folder), (), self.loop.time())
         return sftp.Attrs(
@@ -102,7 +102,7 @@
         )
 
     async def set_stat(self, packet: sftp.SetStat, runner_for: RunnerFactory) -> sftp.Status:
-        """Sets attributes by a path."""
+        """Sets the attributes of a path."""
         folder, names = self.context.locate_inside(packet.path)
         runner = runner_for(folder)
         if packet.attributes.size is not None:
@@ -112,7 +112,7 @@
         return status(packet.request_id)
 
     async def handle_set_stat(self, packet: sftp.FSetStat, runner_for: RunnerFactory) -> sftp.Status:
-        """Sets attributes of an open file."""
+        """Sets the attributes of an open file."""
         if packet.attributes.size is None:
             file = self.handles.file(packet.handle)
         else:
--- a/rushmux/edge/file_system.py
+++ b/rushmux/edge/file_system.py
@@ -1,4 +1,4 @@
-"""What all changes of files share, whatever makes them: settings, unique names, the clock, garbage."""
+"""Shared by all code that changes files: settings, unique names, the clock and garbage rows."""
 
 from collections.abc import Callable, Sequence
 
@@ -10,13 +10,13 @@
 
 
 class FileSystem:
-    """The files of all folders, as one edge makes and changes them.
+    """Creates the rows that changes of files store.
 
     Attributes:
-        settings: How files are cut.
-        unique_name: Gives a name never used before.
+        settings: The deployment's settings for files.
+        unique_name: Returns a name that was never used before.
         wall_clock: Returns whole seconds since 1970.
-        schedule_collection: Called with each folder where a change made garbage.
+        schedule_collection: Called with a folder after a change that left garbage there.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self.schedule_collection = schedule_collection
 
     def new_file(self, mode: int) -> FileRow:
-        """Row of an empty file."""
+        """Returns the row of a new empty file."""
         now, data_id = self.wall_clock(), self.unique_name()
         return FileRow(
             FileKind.FILE,
@@ -42,14 +42,14 @@
         )
 
     def new_directory(self, mode: int) -> FileRow:
-        """Row of an empty directory."""
+        """Returns the row of a new empty directory."""
         now = self.wall_clock()
         return FileRow(FileKind.DIRECTORY, mode & PERMISSION_BITS, mtime=now, atime=now)
 
     def garbage_objects_row(self, objects: Sequence[tuple[int, str]]) -> tuple[str, bytes]:
-        """Key and value of a row that has objects dropped, (cell, object) each."""
+        """Returns key and value of a garbage row that lists objects to drop as (cell, object)."""
         return layout.garbage_key(self.unique_name()), layout.pack_garbage_objects(objects)
 
     def garbage_data_row(self, data_id: str) -> tuple[str, bytes]:
-        """Key and value of a row that has all objects of a file's data dropped."""
+        """Returns key and value of a garbage row for all objects of a file's data."""
         return layout.garbage_key(self.unique_name()), layout.pack_garbage_data(data_id)
--- a/rushmux/edge/file_view.py
+++ b/rushmux/edge/file_view.py
@@ -1,4 +1,4 @@
-"""One handle's cached view of a file: its row and the rows of some of its blocks."""
+"""A handle's cached copy of a file's row and of some of its block rows."""
 
 import asyncio
 from collections import OrderedDict
@@ -12,11 +12,11 @@
 from rushmux.nodewire import messages
 from rushmux.sftp import packets as sftp
 
-MAX_CACHED_BLOCKS = 64  # rows cached by a handle: 16 MiB of a file read in turn
+MAX_CACHED_BLOCKS = 64  # block rows cached for each handle; covers 16 MiB of a sequential read
 
 
 class Block(NamedTuple):
-    """A block's extents as this handle last read them, and the loop's time then."""
+    """A block's extents, and the event loop's time at which they were read."""
 
     extents: Sequence[Extent]
     version: int
@@ -24,12 +24,12 @@
 
 
 class FileView:
-    """What a handle knows of its file.
+    """Caches the rows of one file.
 
     Attributes:
         file: The file's row.
         version: The row's version.
-        blocks: Blocks by their numbers, least recently read first.
+        blocks: Cached blocks by number, least recently read first.
     """
 
     def __init__(self, file_id: str, file: FileRow, version: int):
@@ -39,7 +39,7 @@
         self.blocks: OrderedDict[int, Block] = OrderedDict()
 
     async def refresh(self, runner: OperationRunner, numbers: Iterable[int], since: float) -> None:
-        """Sees that the file's row and these blocks were read at the loop's time `since` or later.
+        """Reads the file's row and the given blocks again if they were read before the loop's time `since`.
 
         Raises:
             RequestRejectedError: The file was removed.
@@ -54,7 +54,7 @@
         if key not in rows:
             raise RequestRejectedError(sftp.NO_SUCH_FILE, "the file was removed")
         file, version = layout.unpack_file(rows[key].value), rows[key].version
-        if file.data_id != data_id:  # emptied by another: its blocks have other keys now
+        if file.data_id != data_id:  # truncated by another client: the blocks' keys have changed
             self.blocks.clear()
             self.set_file(file, version, now)
             await self.refresh(runner, stale, since)
@@ -68,16 +68,16 @@
         return number not in self.blocks or self.blocks[number].read_at < since
 
     def set_file(self, file: FileRow, version: int, now: float) -> None:
-        """Takes in the file's row as of the loop's time `now`."""
+        """Caches the file's row, read at the loop's time `now`."""
         self.file, self.version, self.read_at = file, version, now
 
     def on_changed(self, file: FileRow, version: int) -> None:
-        """Takes in the file's row after a change of its attributes, which may have cut its blocks."""
+        """Caches the file's row after a change of its attributes, which may have truncated blocks."""
         self.file, self.version = file, version
         self.blocks.clear()
 
     def set_block(self, number: int, block: Block) -> None:
-        """Takes in a block, unless a newer version of it is known; 0 says that its row is gone."""
+        """Caches a block unless a newer version is cached; version 0: its row no longer exists."""
         known = self.blocks.get(number)
         if known is None or block.version >= known.version or block.version == 0:
             self.blocks[number] = block
--- a/rushmux/edge/garbage_collector.py
+++ b/rushmux/edge/garbage_collector.py
@@ -1,7 +1,7 @@
-"""Drops objects that no name points at any more, one operation at a time and behind all other work.
+"""Drops objects that no row refers to any more, as background work of one operation at a time.
 
-What is to be dropped stands in rows of the folder's names, put there by the change that freed it, so that any
-edge can continue where one was killed.
+The change that frees objects records them in garbage rows among the folder's rows, so that any edge can
+finish the work of one that was killed.
 """
 
 import asyncio
@@ -12,19 +12,19 @@
 from rushmux.edge.operation_runner import NO_TAG, OperationRunner, RowChange
 from rushmux.files import layout
 
-DELAY = 2.0  # seconds: readers with older rows finish first
-RETRY_DELAY = 5.0  # seconds until a folder is tried again after a shed
+DELAY = 2.0  # seconds; lets readers that use older rows finish
+RETRY_DELAY = 5.0  # seconds until a folder is retried after an operation was shed or failed
 OPERATION_TIMEOUT = 10.0  # seconds
-BATCH_SIZE = 64  # rows read and objects dropped at once
-MAX_ORPHANS = 4_096  # orphaned objects remembered; more wait for a scrubber
+BATCH_SIZE = 64  # rows read, or objects dropped, in one operation
+MAX_ORPHANS = 4_096  # orphaned objects remembered; further ones stay until a scrubber removes them
 
 
 class GarbageCollector:
-    """The background worker of one edge."""
+    """The background garbage collector of one edge."""
 
     def __init__(self, driver: EdgeDriver, log):
         self.driver, self.log = driver, log
-        self.scheduled: dict[str, bool] = {}  # folders with something to drop, each once
+        self.scheduled: dict[str, bool] = {}  # folders to collect, in order
         self.folders_seen: set[str] = set()
         self.wake = asyncio.Event()
         self.orphans: dict[str, list[tuple[int, str]]] = {}  # folder -> (cell, object)
@@ -32,25 +32,25 @@
         driver.on_orphaned_object = self.on_orphaned_object
 
     def on_orphaned_object(self, folder: str, cell: int, name: str) -> None:
-        """A write went to this cell too, and another copy is the one that counts."""
+        """Records the redundant copy that a repeated attempt of a write left in a cell."""
         if self.orphan_count < MAX_ORPHANS:
             self.orphan_count += 1
             self.orphans.setdefault(folder, []).append((cell, name))
             self.schedule(folder)
 
     def schedule(self, folder: str) -> None:
-        """A folder has something to drop; may be called at any time."""
+        """Schedules a folder for collection."""
         self.scheduled[folder] = True
         self.wake.set()
 
     def on_folder_used(self, folder: str) -> None:
-        """A folder is used here: what a killed edge left there is looked for once."""
+        """Schedules a folder on its first use, in case a killed edge left garbage there."""
         if folder not in self.folders_seen:
             self.folders_seen.add(folder)
             self.schedule(folder)
 
     async def run(self) -> None:
-        """Collects until cancelled."""
+        """Collects scheduled folders until cancelled."""
         while True:
             await self.wake.wait()
             self.wake.clear()
@@ -63,12 +63,12 @@
                     self.schedule(folder)
 
     async def _try_collect(self, folder: str) -> bool:
-        """Collects a folder; False: it is to be retried."""
+        """Collects a folder; returns False if it must be retried."""
         try:
             await self._collect(folder)
         except (OperationShedError, OperationFailedError):
             return False
-        except Exception:  # whatever it is: the other folders go on
+        except Exception:  # must not stop the collection of other folders
             self.log.exception("garbage_collector.fault", folder=folder)
         return True
 
@@ -77,7 +77,7 @@
         return OperationRunner(self.driver, folder, NO_TAG, deadline)
 
     async def _collect(self, folder: str) -> None:
-        # A copy that a node writes later than this stays; dropping what is not there is harmless.
+        # Dropping a missing object has no effect.  A copy that a node writes after its drop is never removed.
         orphans = self.orphans.pop(folder, [])
         self.orphan_count -= len(orphans)
         await self._drop_objects(folder, orphans)
@@ -94,7 +94,7 @@
                 return
 
     async def _drop_blocks(self, folder: str, data_id: str) -> None:
-        """Drops the objects of a file's blocks and the rows of these."""
+        """Drops the blocks of a file: their objects and their rows."""
         after, below = layout.block_keys(data_id)
         while True:
             outcome = await self._runner(folder).read_rows(data_id, after=after, below=below, most=BATCH_SIZE)
--- a/rushmux/edge/group_commit.py
+++ b/rushmux/edge/group_commit.py
@@ -1,7 +1,7 @@
-"""Writes of one handle to the nodes: new objects first, then one change that makes several writes visible.
+"""Group commit of one handle's writes: one row change makes several writes visible.
 
-A write is done when its bytes lie on a node and the rows that name them are changed; writes that come while a
-change runs go into the next one together.
+A write first stores its data as new objects, and is complete when the rows refer to them.  Writes that arrive
+while a change is running are committed together by the next one.
 """
 
 import asyncio
@@ -18,48 +18,48 @@
 from rushmux.files.layout import Extent
 from rushmux.nodewire import messages
 
-MAX_BATCH = 32  # writes made visible by one change: a megabyte of a stock client's
+MAX_BATCH = 32  # writes in one commit; 1 MiB in the write size of stock clients
 
 
 class StoredWrite(NamedTuple):
-    """A write whose objects are stored and whose rows are not changed yet."""
+    """A write whose objects are stored but not yet visible."""
 
     extents: Sequence[BlockExtent]
     end: int
-    """The first byte of the file past it."""
+    """File offset just past the write."""
     done: asyncio.Future | None
-    """Set when it is visible; None: nobody waits on it."""
+    """Set when the write is visible; None: nothing waits for it."""
 
 
 @dataclass
 class BlockUpdates:
-    """What a change makes of the blocks that a batch writes to."""
+    """The updates that a batch makes to the blocks it writes to."""
 
     checks: list[messages.Check] = field(default_factory=list)
     puts: list[tuple[str, bytes]] = field(default_factory=list)
     extents: dict[int, Sequence[Extent]] = field(default_factory=dict)
-    """Block number -> its extents afterwards."""
+    """Block number -> its new extents."""
     garbage: list[tuple[int, str]] = field(default_factory=list)
 
 
 class GroupCommit:
-    """The writes of one handle."""
+    """Commits the writes of one handle."""
 
     def __init__(self, view: FileView, file_system: FileSystem, folder: str):
         self.view, self.file_system, self.folder = view, file_system, folder
         self.loop = asyncio.get_running_loop()
         self.pending: list[StoredWrite] = []
-        self.committing: asyncio.Future | None = None  # set when the change that runs has ended
+        self.committing: asyncio.Future | None = None  # set when the running commit ends
 
     async def write(self, runner: OperationRunner, offset: int, data: bytes) -> None:
-        """Writes bytes; returns when any edge can read them."""
+        """Writes data; returns when any edge can read it."""
         extents = await write_blocks(runner, offset, data, self.view.file.block_size)
         write = StoredWrite(extents, offset + len(data), self.loop.create_future())
         self.pending.append(write)
         try:
             while not write.done.done():
                 if self.committing is None:
-                    await self._lead(runner)
+                    await self._commit_pending(runner)
                 else:
                     await asyncio.wait((write.done, self.committing), return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -68,7 +68,7 @@
         write.done.result()
 
     async def append(self, runner: OperationRunner, data: bytes) -> None:
-        """Writes at the end, wherever that is by then: two edges that append lose nothing."""
+        """Writes at the current end of the file; concurrent appends through other edges are not lost."""
         view = self.view
         for attempt in range(MAX_CONFLICTS):
             await runner.back_off(attempt)
@@ -80,17 +80,17 @@
                 return
         raise ContentionError("the file")
 
-    async def _lead(self, runner: OperationRunner) -> None:
-        """Commits what is pending, with this writer's time; the others' writes go on if it fails."""
+    async def _commit_pending(self, runner: OperationRunner) -> None:
+        """Commits a batch within this writer's deadline; if it fails, the batch stays pending for others."""
         batch, self.pending = self.pending[:MAX_BATCH], self.pending[MAX_BATCH:]
         self.committing = self.loop.create_future()
         try:
             await self._commit(runner, batch)
-        except RequestRejectedError as error:  # holds for all: the file is gone, or contended
+        except RequestRejectedError as error:  # applies to the whole batch: file removed, or contention
             for write in batch:
                 if not write.done.done():
                     write.done.set_exception(error)
-        except BaseException:  # this writer's own end, a cancellation too
+        except BaseException:  # applies to this writer only; includes cancellation
             self.pending = batch + self.pending
             raise
         else:
@@ -104,7 +104,7 @@
     async def _commit(
         self, runner: OperationRunner, batch: Sequence[StoredWrite], only_version: int | None = None
     ) -> bool:
-        """Changes the rows that make a batch visible; False: the file is not of `only_version`."""
+        """Makes a batch visible; returns False if the file's version is not `only_version`."""
         since = self.loop.time() - self.file_system.settings.max_row_age
         for attempt in range(MAX_CONFLICTS):
             await runner.back_off(attempt)
@@ -121,21 +121,22 @@
         since: float,
         only_version: int | None,
     ) -> bool | None:
-        """As `_commit`, once; None: others changed the rows since they were read."""
+        """Makes one attempt of `_commit`; returns None if the rows have changed since they were read."""
         view = self.view
         numbers = list(dict.fromkeys(number for write in batch for number, _ in write.extents))
         await view.refresh(runner, numbers, since)
         if only_version is not None and view.version != only_version:
             return False
-        # A file emptied after these bytes were stored must not get them back by accident; the write is newer
-        # than what the client saw, so it goes into the file as it is now.
+        # Uses the file's current row: if the file was truncated after the objects were stored, the write is
+        # applied to the truncated file and does not restore older data.
         file, key = view.file, layout.file_key(view.file_id)
         change = RowChange([check_version(key, view.version)])
         blocks = await self._block_updates(runner, file.data_id, numbers, batch)
         if blocks is None:
             return None
         size = max([file.size, *(write.end for write in batch)])
-        # Without a stamp: an edge that recovers older buffered writes must not take this for its own batch.
+        # The stamp is cleared so that an edge recovering older buffered writes does not take this change for
+        # its own batch.
         file = file._replace(size=size, mtime=self.file_system.wall_clock(), batch_stamp="")
         change.checks += blocks.checks
         change.puts = [(key, layout.pack_file(file)), *blocks.puts]
@@ -146,7 +147,7 @@
             return None
         now = self.loop.time()
         view.set_file(file, rows[0].version, now)
-        for row, (number, extents) in zip(rows[1:], blocks.extents.items(), strict=False):  # garbage last
+        for row, (number, extents) in zip(rows[1:], blocks.extents.items(), strict=False):  # garbage row last
             view.set_block(number, Block(extents, row.version, now))
         if blocks.garbage:
             self.file_system.schedule_collection(self.folder)
@@ -155,7 +156,7 @@
     async def _block_updates(
         self, runner: OperationRunner, data_id: str, numbers: Iterable[int], batch: Sequence[StoredWrite]
     ) -> BlockUpdates | None:
-        """The blocks with a batch over them; None: an object was replaced meanwhile."""
+        """Computes the blocks with a batch applied; returns None if an object was replaced meanwhile."""
         updates = BlockUpdates()
         for number in numbers:
             block = self.view.blocks[number]
@@ -167,7 +168,7 @@
             if len(extents) > self.file_system.settings.max_extents:
                 try:
                     extents = [await compact_block(runner, extents)]
-                except ObjectMissingError:  # this version's check would not hold
+                except ObjectMissingError:  # the block has changed, so its version check would fail
                     return None
             key = layout.block_key(data_id, number)
             updates.checks.append(check_version(key, block.version))
--- a/rushmux/edge/handles.py
+++ b/rushmux/edge/handles.py
@@ -1,4 +1,4 @@
-"""The handles of one session: open files and open directories."""
+"""The handles of a session: open files and open directories."""
 
 from rushmux.edge.errors import RequestRejectedError
 from rushmux.edge.openfile import OpenFile
@@ -7,13 +7,13 @@
 
 
 class OpenDirectory:
-    """One handle's position in a listing.
+    """An open directory and the position in its listing.
 
     Attributes:
-        path: The directory's path from the root, as its names; a rename changes it.
-        remaining_folders: Of the root, the folders that are still to be listed; None: it is not the root.
-        next_key: The key to continue after ("": from the first).
-        exhausted: Whether all was listed.
+        path: Names of the directory's path from the root; updated by renames.
+        remaining_folders: Folders still to be listed, if this is the root; None: it is not the root.
+        next_key: The key to continue after (empty: from the first).
+        exhausted: Whether all entries were listed.
     """
 
     def __init__(
@@ -25,37 +25,37 @@
 
 
 class HandleTable:
-    """The open handles of a session, by the bytes that the client knows them by."""
+    """The open handles of a session by the ids that clients use."""
 
     def __init__(self, session_name: str, max_handles: int):
         self.session_name, self.max_handles = session_name, max_handles
         self.by_id: dict[bytes, OpenFile | OpenDirectory] = {}
-        self.opened = 0
+        self.opened_count = 0
 
     def check_capacity(self) -> None:
-        """RequestRejectedError where no more handles may be opened."""
+        """Raises RequestRejectedError if no more handles may be opened."""
         if len(self.by_id) >= self.max_handles:
             raise RequestRejectedError(
-                sftp.FAILURE, f"{self.max_handles} handles are open, the most of a session"
+                sftp.FAILURE, f"the session has {self.max_handles} open handles, the maximum"
             )
 
     def add(self, opened: OpenFile | OpenDirectory) -> bytes:
-        """Opens a handle."""
-        self.opened += 1
-        handle = f"{self.session_name}/{self.opened}".encode()
+        """Adds an open file or directory and returns its new handle."""
+        self.opened_count += 1
+        handle = f"{self.session_name}/{self.opened_count}".encode()
         self.by_id[handle] = opened
         return handle
 
     def get(self, handle: bytes | None) -> OpenFile | OpenDirectory | None:
-        """What a handle has open, if anything."""
+        """Returns the open file or directory of a handle, if any."""
         return self.by_id.get(handle)
 
     def file(self, handle: bytes) -> OpenFile:
-        """The open file of a handle; RequestRejectedError where it has none."""
+        """Returns the open file of a handle; raises RequestRejectedError if there is none."""
         return self._require(handle, OpenFile)
 
     def directory(self, handle: bytes) -> OpenDirectory:
-        """The open directory of a handle; RequestRejectedError where it has none."""
+        """Returns the open directory of a handle; raises RequestRejectedError if there is none."""
         return self._require(handle, OpenDirectory)
 
     def _require(self, handle: bytes, kind: type):
@@ -65,19 +65,19 @@
         return opened
 
     def remove(self, handle: bytes) -> OpenFile | OpenDirectory:
-        """Closes a handle; RequestRejectedError where it is not open."""
+        """Removes a handle and returns what it has open; raises RequestRejectedError if it is not open."""
         opened = self._require(handle, (OpenFile, OpenDirectory))
         del self.by_id[handle]
         return opened
 
     def on_renamed(self, path: Names, target: Names) -> None:
-        """A path was renamed: handles of it and below it follow."""
+        """Updates the paths of open files and directories at or below a renamed path."""
         for opened in self.by_id.values():
             if opened.path[: len(path)] == path:
                 opened.path = target + opened.path[len(path) :]
 
     def release_all(self) -> None:
-        """The session ended."""
+        """Releases all open files."""
         for opened in self.by_id.values():
             if isinstance(opened, OpenFile):
                 opened.release()
--- a/rushmux/edge/name_requests.py
+++ b/rushmux/edge/name_requests.py
@@ -1,4 +1,4 @@
-"""Handlers of requests on names: directories, removals, renames."""
+"""Handlers of requests on names: directories, removals and renames."""
 
 from rushmux.edge.directories import PAGE_SIZE
 from rushmux.edge.errors import RequestRejectedError
@@ -11,14 +11,14 @@
 
 
 class NameRequests:
-    """Lists, makes and removes directories; removes and renames files and directories."""
+    """Lists, creates and removes directories; removes files; renames both."""
 
     def __init__(self, context: RequestContext):
         self.context, self.handles, self.edge = context, context.handles, context.edge
         self.tree = self.edge.directory_tree
 
     async def open_directory(self, packet: sftp.OpenDir, runner_for: RunnerFactory) -> sftp.Handle:
-        """Opens a directory to list it."""
+        """Opens a directory for listing."""
         self.handles.check_capacity()
         location = self.context.locate(packet.path)
         if not location.folder:
@@ -29,7 +29,7 @@
         if location.names:
             found = await self.tree.resolve_existing(runner_for(location.folder), location.names)
             if not found.is_directory:
-                raise RequestRejectedError(sftp.FAILURE, "/".join(location.names) + " is no directory")
+                raise RequestRejectedError(sftp.FAILURE, "/".join(location.names) + " is not a directory")
             directory_id = found.file_id
         self.handles.check_capacity()
         handle = self.handles.add(OpenDirectory(location.path, location.folder, directory_id))
@@ -38,7 +38,7 @@
     async def read_directory(
         self, packet: sftp.ReadDir, runner_for: RunnerFactory
     ) -> sftp.Names | sftp.Status:
-        """Lists the next entries of an open directory."""
+        """Returns the next entries of an open directory."""
         directory, rows = self.handles.directory(packet.handle), []
         while not rows:
             if directory.exhausted:
@@ -75,7 +75,7 @@
         return status(packet.request_id)
 
     async def make_directory(self, packet: sftp.MkDir, runner_for: RunnerFactory) -> sftp.Status:
-        """Makes a directory."""
+        """Creates a directory."""
         folder, names = self.context.locate_inside(packet.path)
         await self.tree.make_directory(runner_for(folder), names, packet.attributes)
         return status(packet.request_id)
@@ -87,7 +87,7 @@
         return status(packet.request_id)
 
     async def real_path(self, packet: sftp.RealPath, runner_for: RunnerFactory) -> sftp.Names:
-        """Resolves a path without looking anything up."""
+        """Normalizes a path without checking that it exists."""
         path = "/" + "/".join(paths.split(packet.path))
         return sftp.Names(packet.request_id, [sftp.Name(path, path, sftp.Attributes())])
 
@@ -98,7 +98,7 @@
         source = self.context.locate_inside(packet.path)
         target = self.context.locate_inside(packet.target)
         if source.folder != target.folder:
-            raise RequestRejectedError(sftp.PERMISSION_DENIED, "names do not move between folders")
+            raise RequestRejectedError(sftp.PERMISSION_DENIED, "names cannot be moved between folders")
         await self.tree.rename(runner_for(source.folder), source.names, target.names, replace)
         self.handles.on_renamed(source.path, target.path)
         return status(packet.request_id)
@@ -106,6 +106,6 @@
     async def posix_rename(
         self, packet: sftp.Extended, fields: sftp.FieldReader, runner_for: RunnerFactory
     ) -> sftp.Status:
-        """As `rename`, over a file or an empty directory."""
+        """Like `rename`, but may replace a file or an empty directory."""
         rename = sftp.Rename(packet.request_id, fields.text(), fields.text())
         return await self.rename(rename, runner_for, replace=True)
--- a/rushmux/edge/node_connections.py
+++ b/rushmux/edge/node_connections.py
@@ -1,7 +1,7 @@
-"""Connections of an edge to storage nodes: few, shared by all operations, re-opened with backoff.
+"""Connections of an edge to storage nodes, shared by all operations and re-opened with backoff.
 
-`NodeConnections.send` sends one attempt and later calls back once with its result
-(`scheduling.interface.AttemptResult`), never from within `send` itself.
+`NodeConnections.send` sends one attempt and calls back once with its result
+(`scheduling.interface.AttemptResult`), always after `send` has returned.
 """
 
 import asyncio
@@ -14,13 +14,13 @@
 from rushmux.nodewire import FrameReader, WireError, frame, messages
 from rushmux.scheduling.interface import AttemptResult
 
-INITIAL_BACKOFF = 0.05  # seconds after a first failed connect: a process restarts in some of these
-MAX_BACKOFF = 2.0  # seconds: a node that returns is found again within this
+INITIAL_BACKOFF = 0.05  # seconds; a process restart takes a few times as long
+MAX_BACKOFF = 2.0  # seconds; a node that returns is reconnected within this time
 RECONNECT_BACKOFF = Backoff(INITIAL_BACKOFF, MAX_BACKOFF)
-MAX_UNSENT = 64  # attempts that wait for one connect: six gateways' worth of the bound of ten
-MAX_BUFFERED = 4 << 20  # bytes written and not sent: a node that reads so slowly is full
+MAX_UNSENT = 64  # attempts waiting for one connect; about six times a gateway's bound of ten
+MAX_BUFFERED = 4 << 20  # bytes not sent yet; with more, the node counts as overloaded
 READ_SIZE = 1 << 18  # bytes of one read from the socket
-NEVER = float("inf")  # the loop's time that never comes
+NEVER = float("inf")
 RESULTS = {
     messages.DONE: AttemptResult.SUCCEEDED,
     messages.MISSING: AttemptResult.SUCCEEDED,
@@ -34,21 +34,21 @@
 
 
 class Address(NamedTuple):
-    """Where a node listens."""
+    """Address that a node or planner listens on."""
 
     host: str
     port: int
 
 
 class UnsentAttempt(NamedTuple):
-    """An attempt that waits for a connection, and the loop's time before which it must be sent."""
+    """An attempt that waits for a connection, and the loop time before which it must be sent."""
 
     execute: messages.Execute
     latest_start: float
 
 
 class Stream(NamedTuple):
-    """A connection's two ends, and the frames that were read in part."""
+    """The streams of a connection, and the decoder of its frames."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -56,26 +56,26 @@
 
 
 def next_backoff(failures: int, rng: random.Random) -> float:
-    """Seconds to wait after a number of failures in a row: doubled with each, half of it drawn."""
+    """Returns the pause in seconds after consecutive failures: exponential, with a random half."""
     return RECONNECT_BACKOFF.drawn_pause(failures, rng)
 
 
 class NodeConnection:
-    """One connection to a node, opened when something is to be sent."""
+    """One connection to a node, opened when there is something to send."""
 
     def __init__(self, connections: "NodeConnections", node: str, address: Address):
         self.connections, self.node, self.address = connections, node, address
         self.stream: Stream | None = None
-        self.writer: CoalescingWriter | None = None  # None: not welcomed yet
+        self.writer: CoalescingWriter | None = None  # None: no welcome was received yet
         self.task: asyncio.Task | None = None
-        # Each by correlation id.
+        # Keys are correlation ids.
         self.unsent: dict[int, UnsentAttempt] = {}
-        self.pending: dict[int, OutcomeCallback] = {}  # those unsent among them
+        self.pending: dict[int, OutcomeCallback] = {}  # includes unsent attempts
         self.pending_load_reports: dict[int, LoadCallback] = {}
         self.failures, self.retry_at = 0, 0.0
 
     def send(self, execute: messages.Execute, on_result: OutcomeCallback, latest_start: float) -> int:
-        """Sends an attempt, or has it wait for the connection; its correlation id."""
+        """Sends an attempt, or queues it until the connection is open; returns its correlation id."""
         loop = asyncio.get_running_loop()
         correlation_id = execute.corr = self.connections.next_correlation_id()
         if self.writer is not None:
@@ -96,7 +96,7 @@
         return correlation_id
 
     def cancel(self, correlation_id: int) -> None:
-        """Forgets an attempt and notifies the node; one that was not sent yet never is."""
+        """Drops an attempt and, if it was sent, notifies the node."""
         sent = correlation_id in self.pending and correlation_id not in self.unsent
         if sent and self.writer is not None:
             withdraw = messages.Withdraw(corr=correlation_id)
@@ -104,12 +104,12 @@
         self.drop(correlation_id)
 
     def drop(self, correlation_id: int) -> None:
-        """Forgets an attempt or a load report that nobody waits for; one not sent yet never is."""
+        """Forgets an attempt or a load report; one that was not sent yet will not be sent."""
         for requests in (self.unsent, self.pending, self.pending_load_reports):
             requests.pop(correlation_id, None)
 
     def request_load_report(self, on_report: LoadCallback) -> int | None:
-        """Requests a load report if the connection is open; None: it is not."""
+        """Requests a load report; returns None if the connection is not open or too slow."""
         if self.writer is None or self.writer.buffered_bytes() > MAX_BUFFERED:
             return None
         correlation_id = self.connections.next_correlation_id()
@@ -118,12 +118,12 @@
         return correlation_id
 
     def close(self) -> None:
-        """Closes the connection; what is pending comes back as lost."""
+        """Closes the connection; the results of pending attempts are `CONNECTION_LOST`."""
         if self.task is not None:
             self.task.cancel()
 
     async def _run(self) -> None:
-        """Connects, sends what waits, and reads answers until the connection ends."""
+        """Connects, sends the unsent attempts, and reads replies until the connection ends."""
         loop, reason = asyncio.get_running_loop(), "closed by the node"
         try:
             async with asyncio.timeout(self.connections.connect_timeout):
@@ -140,23 +140,23 @@
             self._on_closed(reason, loop.time())
 
     async def _connect(self) -> list[messages.Message]:
-        """Opens the connection and says hello; the first messages of the node."""
+        """Opens the connection, sends hello and returns the node's first messages."""
         reader, writer = await asyncio.open_connection(*self.address)
         self.stream = Stream(reader, writer, FrameReader())
         writer.write(frame(messages.Message(hello=self.connections.hello)))
         while True:
             data = await reader.read(READ_SIZE)
             if not data:
-                raise WireError("closed before a welcome")
+                raise WireError("connection closed before the welcome")
             received = self.stream.frames.feed(data)
             if received:
                 return received
 
     def _on_welcome(self, message: messages.Message) -> None:
-        # Another process may have the address now, or an older one of this node.
+        # Another process may have taken over the address.
         if message.WhichOneof("body") != "welcome" or message.welcome.peer != self.node:
             other = message.welcome.peer or "something"
-            raise WireError(f"{other} answers at the address of {self.node}")
+            raise WireError(f"{other} answered at the address of {self.node}")
         self.connections.on_welcome(self.node, message.welcome.start, message.welcome.age)
 
     def _send_unsent(self, now: float) -> None:
@@ -164,7 +164,7 @@
         for correlation_id, attempt in unsent.items():
             if now < attempt.latest_start:
                 self.writer.write(frame(messages.Message(execute=attempt.execute)))
-            else:  # sent now, it would run past its deduplication window
+            else:  # sent this late, it could run past its deduplication window
                 self.pending.pop(correlation_id)(AttemptResult.CONNECT_FAILED, None)
 
     def _on_messages(self, received: Iterable[messages.Message]) -> None:
@@ -177,11 +177,11 @@
             elif body == "outcome":
                 self._on_outcome(message.outcome)
             else:
-                raise WireError(f"{body} where an outcome belongs")
+                raise WireError(f"unexpected {body} message from a node")
 
     def _on_outcome(self, outcome: messages.Outcome) -> None:
         on_result = self.pending.pop(outcome.corr, None)
-        if on_result is not None:  # else it was given up
+        if on_result is not None:  # None: the attempt was dropped
             on_result(RESULTS.get(outcome.code, AttemptResult.FAILED), outcome)
 
     def _on_closed(self, reason: str, now: float) -> None:
@@ -204,22 +204,22 @@
 
 
 class PendingRequest(NamedTuple):
-    """An attempt or a load report on its way (`scheduling.driver.AttemptHandle`)."""
+    """A pending attempt or load report (`scheduling.driver.AttemptHandle`)."""
 
     connection: NodeConnection
     correlation_id: int
 
     @property
     def sent(self) -> bool:
-        """Whether it was written to its connection."""
+        """Whether the request was written to the connection."""
         return self.correlation_id not in self.connection.unsent
 
     def drop(self) -> None:
-        """Nobody waits for it any more."""
+        """Drops the request without notifying the node."""
         self.connection.drop(self.correlation_id)
 
     def cancel(self) -> None:
-        """It is called off, and its node is notified."""
+        """Drops the request and notifies the node."""
         self.connection.cancel(self.correlation_id)
 
 
@@ -227,8 +227,8 @@
     """All connections of one edge to nodes.
 
     Attributes:
-        by_node: The connections to each node of a known address.
-        on_welcome: Called with the node, its start and its age in ticks as each connection opens.
+        by_node: The connections to each node whose address is known.
+        on_welcome: Called with the node, its start and its age in ticks when a connection opens.
     """
 
     def __init__(
@@ -247,12 +247,12 @@
         self._last_correlation_id = 0
 
     def next_correlation_id(self) -> int:
-        """A number that no other request of this edge has."""
+        """Returns an id that is unique among this edge's requests."""
         self._last_correlation_id += 1
         return self._last_correlation_id
 
     def set_address(self, node: str, address: Address | None) -> None:
-        """Notes where a node listens; None: it is gone, and its connections close."""
+        """Sets a node's address; None closes its connections."""
         connections = self.by_node.get(node, ())
         if address is None or any(connection.address != address for connection in connections):
             for connection in self.by_node.pop(node, ()):
@@ -269,10 +269,10 @@
         on_result: OutcomeCallback,
         latest_start: float = NEVER,
     ) -> PendingRequest | None:
-        """Sends one attempt, before the loop's time `latest_start` or never.
+        """Sends an attempt over the node's least busy connection, but not after the loop time `latest_start`.
 
-        `on_result(result, outcome)` is called once, later, unless the request is dropped.  None: no address
-        of the node is known.
+        `on_result(result, outcome)` is called once, later, unless the request is dropped.  Returns None if
+        the node's address is not known.
         """
         connections = self.by_node.get(node)
         if not connections:
@@ -282,7 +282,7 @@
         return PendingRequest(connection, connection.send(execute, on_result, latest_start))
 
     def request_load_report(self, node: str, on_report: LoadCallback) -> PendingRequest | None:
-        """Requests a load report, over an open connection only: it is not worth a connect.
+        """Requests a load report over an open connection; opens none, as a report is not worth the cost.
 
         `on_report(result, load)` is called once, later, unless the request is dropped.
         """
@@ -294,7 +294,7 @@
         return None
 
     async def close(self) -> None:
-        """Closes all connections and waits until they are."""
+        """Closes all connections and waits until they are closed."""
         tasks = [
             connection.task
             for connections in self.by_node.values()
--- a/rushmux/edge/openfile.py
+++ b/rushmux/edge/openfile.py
@@ -1,4 +1,4 @@
-"""An open file: reads through its view of the rows, writes to the nodes or into the write-back buffer."""
+"""An open file: reads through cached rows, and writes to the nodes or into the write-back buffer."""
 
 import asyncio
 from collections.abc import Sequence
@@ -14,16 +14,16 @@
 from rushmux.files.paths import Names
 from rushmux.sftp import packets as sftp
 
-MAX_READ_ATTEMPTS = 3  # fresh looks where a reader's objects were replaced meanwhile
+MAX_READ_ATTEMPTS = 3  # a read is repeated if objects were replaced meanwhile
 
 
 class OpenFile:
-    """One handle of a file.  What it read of rows is used for the setting's `fresh` seconds.
+    """One handle of a file.  Cached rows are used for at most `max_row_age` seconds.
 
     Attributes:
-        path: The file's path from the root, as its names; a rename changes it.
-        view: What the handle knows of the file.
-        buffered_file: The file in the edge's write-back buffer, where there is one.
+        path: Names of the file's path from the root; updated by renames.
+        view: The handle's cached rows of the file.
+        buffered_file: The file in the edge's write-back buffer; None: there is no buffer.
     """
 
     def __init__(self, file_system: FileSystem, path: Names, found: ResolvedName, flags: int, buffer=None):
@@ -38,21 +38,21 @@
             self.buffered_file.open_handles += 1
 
     def release(self) -> None:
-        """The handle is gone."""
+        """Releases the buffer's reference to the file when the handle closes."""
         if self.buffer is not None:
             self.buffered_file.open_handles -= 1
             self.buffer.on_handle_closed(self.buffered_file)
 
     async def flush(self, runner: OperationRunner) -> None:
-        """Waits until all that was written by any handle of this edge is readable through any edge."""
+        """Waits until all writes through any handle of this edge are readable through any edge."""
         if self.buffer is not None:
             await self.buffer.flush(self.buffered_file, runner)
 
     async def read(self, runner: OperationRunner, offset: int, length: int) -> bytes:
-        """Bytes from `offset` on, fewer at the end of the file, none past it; holes read as zeros."""
+        """Reads up to `length` bytes at `offset`, fewer at the end of the file; holes read as zeros."""
         length = min(length, self.file_system.settings.object_bytes)
         since = self.loop.time() - self.file_system.settings.max_row_age
-        # Taken before the rows are read: what is written out meanwhile is in one of them at least.
+        # Taken before the rows are read, so that data flushed meanwhile is in at least one of the two.
         buffered, buffered_end = [], 0
         if self.buffer is not None:
             buffered = self.buffered_file.overlay(offset, offset + length)
@@ -69,7 +69,7 @@
                 since = self.loop.time()
             else:
                 return _overlay_buffered(data, offset, buffered)
-        raise RequestRejectedError(sftp.FAILURE, "an object of this file is not on its node")
+        raise RequestRejectedError(sftp.FAILURE, "an object of this file is missing from its node")
 
     def _parts(self, offset: int, length: int) -> list[BlockPart]:
         block_size, blocks = self.view.file.block_size, self.view.blocks
@@ -79,14 +79,14 @@
         ]
 
     async def write(self, runner: OperationRunner, offset: int, data: bytes) -> None:
-        """Writes bytes; returns when any edge can read them, or when they are buffered."""
+        """Writes data; returns when any edge can read it, or when it is buffered."""
         if self.flags & sftp.APPEND:
             await self.flush(runner)
             await self.group_commit.append(runner, data)
             return
         largest = layout.max_file_size(self.view.file.block_size)
         if offset + len(data) > largest:
-            raise RequestRejectedError(sftp.FAILURE, f"past the largest size of a file, {largest}")
+            raise RequestRejectedError(sftp.FAILURE, f"the file would exceed the maximum size of {largest}")
         if self.buffer is not None:
             file = self.buffered_file
             if await self.buffer.write(file, runner, offset, data, self.view):
@@ -95,7 +95,7 @@
 
 
 def _overlay_buffered(data: bytes, offset: int, buffered: Sequence) -> bytes:
-    """Overlays buffered writes on what the nodes have."""
+    """Overlays buffered writes on data read from the nodes."""
     if not buffered:
         return data
     result = bytearray(data)
--- a/rushmux/edge/operation_runner.py
+++ b/rushmux/edge/operation_runner.py
@@ -1,4 +1,4 @@
-"""The operations of one client request on the storage nodes: each access is one of the scheduler's."""
+"""Runs the operations of one client request on storage nodes through the scheduler."""
 
 import asyncio
 import zlib
@@ -18,20 +18,20 @@
 from rushmux.files.layout import KeyRange
 from rushmux.nodewire import messages
 
-MAX_CONFLICTS = 12  # attempts of one request at a change: more means contention that none gets through
-CONFLICT_BACKOFF = 0.002  # seconds: two edges that collided by chance are apart after a few
-MAX_CONFLICT_BACKOFF = 0.2  # seconds: far under any client's time
+MAX_CONFLICTS = 12  # attempts at one change; more would not help under such contention
+CONFLICT_BACKOFF = 0.002  # seconds; separates two edges that collide by chance within a few attempts
+MAX_CONFLICT_BACKOFF = 0.2  # seconds; far less than any client's time limit
 CONTENTION_BACKOFF = Backoff(CONFLICT_BACKOFF, MAX_CONFLICT_BACKOFF)
-MIN_TIME_LEFT = 0.02  # seconds: with less left an operation is not begun
-ANY_CELL = -1  # of an operation that writes a new object
-NO_TAG = "-"  # of background work, which belongs to no client request
+MIN_TIME_LEFT = 0.02  # seconds; with less left, an operation is shed instead of started
+ANY_CELL = -1  # for operations that write a new object
+NO_TAG = "-"  # for background work, which belongs to no client request
 
 FillExecute = Callable[[messages.Execute], None]
 Result = TypeVar("Result")
 
 
 class StoredObject(NamedTuple):
-    """A new object and the cell where it lies."""
+    """A new object and the cell that stores it."""
 
     name: str
     cell: int
@@ -39,7 +39,7 @@
 
 @dataclass
 class RowChange:
-    """A change of rows of one folder: all of it is done if all checks hold, or nothing."""
+    """An atomic change of rows of one folder, applied only if all checks hold."""
 
     checks: list[messages.Check] = field(default_factory=list)
     puts: list[tuple[str, bytes]] = field(default_factory=list)
@@ -49,17 +49,17 @@
 
 
 def check_version(key: str, version: int) -> messages.Check:
-    """The row has this version; 0: there is no such row."""
+    """Checks that a row has this version; 0: that it does not exist."""
     return messages.Check(key=key, version=version)
 
 
 def check_exists(key: str) -> messages.Check:
-    """There is such a row, of any version."""
+    """Checks that a row exists, in any version."""
     return messages.Check(key=key, exists=True)
 
 
 def check_empty(keys: KeyRange) -> messages.Check:
-    """No row lies between two keys."""
+    """Checks that a key range holds no rows."""
     return messages.Check(key=keys.after, empty_below=keys.below)
 
 
@@ -68,9 +68,9 @@
 
     Attributes:
         driver: The edge's driver.
-        folder: The folder that the operations count for.
-        tag: Ends the id of each operation.
-        deadline: The loop's time at which the request is answered at the latest.
+        folder: The folder that the operations are charged to.
+        tag: Suffix of the operations' ids.
+        deadline: The loop time by which the request must be answered.
     """
 
     def __init__(self, driver: EdgeDriver, folder: str, tag: str, deadline: float):
@@ -78,23 +78,23 @@
         self.roles = driver.deployment.roles
 
     async def back_off(self, attempt: int) -> None:
-        """Waits a drawn time before an attempt at a change; not before the first, number 0."""
+        """Waits a random time before a repeated attempt at a change; attempt 0 is not delayed."""
         if attempt:
             await asyncio.sleep(self.driver.rng.random() * CONTENTION_BACKOFF.pause(attempt))
 
     async def read_rows(self, key: str, **fields) -> messages.Outcome:
-        """Reads rows of the folder's names; fields as in `messages.Look`."""
+        """Reads rows of the folder; the fields are those of `messages.Look`."""
         look = messages.Look(**fields)
         return await self._run_on_home_cell("look", key, 1.0, lambda execute: execute.look.CopyFrom(look))
 
     async def change_rows(self, key: str, change: RowChange) -> Sequence[messages.Row] | None:
-        """Changes rows, all or none, if all checks hold.
+        """Changes rows atomically if all checks hold.
 
         Returns:
-            The rows that were put, with their new versions; None where a check does not hold.
+            The rows that were put, with their new versions; None if a check failed.
 
         Raises:
-            OperationFailedError: It may have been done.
+            OperationFailedError: The change may have been made.
         """
         message = messages.Change(
             mark=self.driver.unique_name(),
@@ -112,8 +112,8 @@
         """Reads bytes of an object.
 
         Raises:
-            ObjectMissingError: The object is not there.
-            ObjectCorruptedError: The bytes are not those that were written.
+            ObjectMissingError: The object does not exist.
+            ObjectCorruptedError: The bytes differ from those written.
         """
         read = messages.ReadObject(object=name, offset=offset, length=length)
         units = self.driver.deployment.units(length)
@@ -126,9 +126,10 @@
         return data
 
     async def write_object(self, data: bytes, role: str = "write") -> StoredObject:
-        """Writes a new object where the scheduler places it.
+        """Writes a new object to a cell that the scheduler chooses.
 
-        `role` names the request class in the deployment's roles: `write_out` for what nobody waits for.
+        `role` selects the request class in the deployment's roles; `write_out` is for writes that no client
+        waits for.
         """
         name = self.driver.unique_name()
         write = messages.WriteObject(object=name, data=data, crc=zlib.crc32(data))
@@ -147,7 +148,7 @@
         self, role: str, key: str, units: float, fill: FillExecute
     ) -> messages.Outcome:
         cell_count = self.driver.endpoint_table.cell_count
-        if not cell_count:  # no endpoint list came yet
+        if not cell_count:  # no endpoint list was received yet
             raise OperationShedError
         cell = paths.home_cell(self.folder, cell_count)
         result = await self._run(role, f"{self.folder}/{key}", units, cell, fill)
@@ -162,29 +163,29 @@
 
 
 async def retry_on_conflict(
-    runner: OperationRunner, what: str, attempt: Callable[[], Awaitable[Result | None]]
+    runner: OperationRunner, target: str, attempt: Callable[[], Awaitable[Result | None]]
 ) -> Result:
-    """Calls `attempt` until it gives something else than None, which says that others changed the same rows.
+    """Repeats `attempt` while it returns None, which signals a conflict with other changes.
 
     Raises:
-        ContentionError: They did so at every attempt; it names `what` was to be changed.
+        ContentionError: Every attempt conflicted; the error names `target`, which was to be changed.
     """
     for number in range(MAX_CONFLICTS):
         await runner.back_off(number)
         result = await attempt()
         if result is not None:
             return result
-    raise ContentionError(what)
+    raise ContentionError(target)
 
 
 async def gather_or_cancel(*calls: Awaitable) -> list[Any]:
-    """Runs calls concurrently; the first error is raised after the others were cancelled."""
+    """Runs calls concurrently; on an error, cancels the others and raises it."""
     if len(calls) == 1:
-        return [await calls[0]]  # no task of its own: most reads and writes are one operation
+        return [await calls[0]]  # saves a task; most reads and writes are a single operation
     tasks = [asyncio.ensure_future(call) for call in calls]
     try:
         return await asyncio.gather(*tasks)
-    except BaseException:  # a cancellation too must not leave calls running
+    except BaseException:  # includes cancellation, which must not leave calls running
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/rushmux/edge/planner_client.py
+++ b/rushmux/edge/planner_client.py
@@ -1,6 +1,6 @@
-"""The edge's connection to the control plane: endpoint list, quota and policy messages.
+"""The edge's connection to the planners, for endpoint list, quota and policy messages.
 
-It reconnects with backoff; meanwhile the last list stays in use.
+The client reconnects with backoff; meanwhile the last endpoint list stays in use.
 """
 
 import asyncio
@@ -11,17 +11,17 @@
 from rushmux.nodewire import FrameReader, WireError, frame, messages
 
 CONNECT_TIMEOUT = 2.0  # seconds
-REQUEST_INTERVAL = 0.5  # seconds at most between two requests: a change reaches all within two of them
-REQUEST_JITTER = 0.5  # of that, drawn: hundreds of edges must not ask at once
+REQUEST_INTERVAL = 0.5  # seconds between requests at most; a change reaches all edges within two of them
+REQUEST_JITTER = 0.5  # random fraction of the interval, so that hundreds of edges do not ask at once
 
 
 def next_request_pause(rng: random.Random) -> float:
-    """Seconds until the next request for a lease of quotas or of the policy."""
+    """Returns the seconds until the next request for a quota or policy lease."""
     return REQUEST_INTERVAL * (1 - REQUEST_JITTER * rng.random())
 
 
 class PlannerClient:
-    """Connects to one planner at a time, and to the next where one does not serve.
+    """Connects to one planner at a time, and to the next one if that does not serve.
 
     Attributes:
         on_listing: Called with each listing, in order.
@@ -37,33 +37,33 @@
         log,
         on_listing: Callable[[messages.Listing], None],
     ):
-        # One address, or those of several planners of which one takes edges.
+        # One address, or those of several planners, of which only one serves edges.
         self.addresses = [addresses] if isinstance(addresses[0], str) else list(addresses)
         self.hello, self.rng, self.log, self.on_listing = hello, rng, log, on_listing
         self.on_quota_grant: Callable[[messages.Grant], None] = lambda grant: None
         self.on_policy_grant: Callable[[messages.PolicyGrant], None] = lambda grant: None
-        self.address_index = 0  # of the next planner to connect to, counted round
+        self.address_index = 0  # next planner to connect to, modulo the number of addresses
         self.writer: asyncio.StreamWriter | None = None
-        self._failures = 0  # connections in a row that ended without a listing, and the last one
-        self._listed = False  # whether this connection brought a listing
+        self._failures = 0  # connections that ended since the last listing
+        self._listed = False  # whether a listing came over this connection
 
     def send(self, **body) -> bool:
-        """Sends one message, named by its field of `messages.Message`; False: there is no connection."""
+        """Sends a message, given as a field of `messages.Message`; returns False if it cannot be sent now."""
         if self.writer is None or self.writer.transport.get_write_buffer_size() > MAX_BUFFERED:
             return False
         self.writer.write(frame(messages.Message(**body)))
         return True
 
     def try_next_planner(self) -> None:
-        """Drops a connection that does not answer: its planner may be stopped, or cut off silently."""
+        """Drops a connection that does not answer; the planner may be stopped or unreachable."""
         if self.writer is not None:
             self.address_index += 1
             self.writer.transport.abort()
 
     async def run(self) -> None:
-        """Keeps connected until cancelled."""
+        """Stays connected until cancelled."""
         while True:
-            reason = await self._follow()
+            reason = await self._run_connection()
             self._failures += 1
             if not self._listed:
                 self.address_index += 1
@@ -71,8 +71,8 @@
             self.log.info("endpoints.source_lost", reason=reason, retry_in=round(pause, 3))
             await asyncio.sleep(pause)
 
-    async def _follow(self) -> str:
-        """Opens one connection and follows it to its end; the reason of the end."""
+    async def _run_connection(self) -> str:
+        """Opens a connection, handles its messages until it ends, and returns the reason of the end."""
         self._listed = False
         address, writer = self.addresses[self.address_index % len(self.addresses)], None
         try:
--- a/rushmux/edge/policy_client.py
+++ b/rushmux/edge/policy_client.py
@@ -1,6 +1,6 @@
-"""An edge's side of the fleet's policy: renews its lease, and has the driver apply what is in force.
+"""The edge's client of the fleet's policy: renews the lease and applies the effective policy to the driver.
 
-`fleet.policy.PolicyMember` decides what is in force.
+`fleet.policy.PolicyMember` determines the effective policy.
 """
 
 import asyncio
@@ -19,25 +19,25 @@
 if TYPE_CHECKING:
     from rushmux.edge.edge import Edge
 
-ANSWER_TIMEOUT = 2.0  # seconds without a grant until another planner is tried
+ANSWER_TIMEOUT = 2.0  # seconds without a grant before another planner is tried
 
 Limits = dict[str, tuple[float, float]]
-"""Folder -> limit in units a second and burst in units; 0: none."""
+"""Folder -> limit in units per second and burst in units; 0: none."""
 
 
 class PolicyState(NamedTuple):
-    """The policy of an edge at one moment."""
+    """The state of an edge's policy."""
 
     active_version: int
     staged_version: int | None
     degraded: bool
-    """It has no lease, and uses a safe fraction of its limits."""
+    """The edge has no lease, and uses a safe fraction of its limits."""
     serving: bool
-    """It may take operations."""
+    """The edge may run operations."""
 
 
 class PolicyClient:
-    """Has one edge follow the fleet's policy."""
+    """Keeps an edge on the fleet's policy."""
 
     def __init__(self, edge: "Edge", store: PolicyStore, stored: StoredPolicies, log):
         self.edge, self.driver, self.planner_client, self.log = edge, edge.driver, edge.planner_client, log
@@ -45,7 +45,7 @@
         self.member = PolicyMember(
             edge.name, stored.active, stored.staged, self._rejection_reason, store.save
         )
-        # What the scheduler was built with.
+        # The limits that the scheduler was built with.
         self.built_limits: Limits = {
             folder: (limit, burst) for folder, limit, burst in documents.limit_rows(edge.deployment)
         }
@@ -58,7 +58,7 @@
         self._apply()
 
     def _rejection_reason(self, proposed: Policy) -> str | None:
-        """Why this edge cannot apply a policy; None: it can."""
+        """Returns why this edge cannot apply a policy, or None if it can."""
         try:
             deployment = documents.merge(
                 self.edge.own_deployment, proposed.text, f"policy {proposed.version}"
@@ -80,7 +80,7 @@
             self._apply()
 
     def _on_grant_message(self, message: messages.PolicyGrant) -> None:
-        """A grant came; one that cannot be believed is logged and ignored."""
+        """Handles a grant; an invalid one is logged and ignored."""
         member = self.member
         known = {policy.version: policy for policy in (member.active, member.staged) if policy is not None}
         try:
@@ -103,29 +103,29 @@
         self.last_grant_at = self.loop.time()
         if self.lease_timer is not None:
             self.lease_timer.cancel()
-        # The lease may end while nothing else happens here.
+        # The expiry must be handled even if no other event occurs.
         self.lease_timer = self.loop.call_at(self.member.lease_expiry, self._apply)
 
     def _apply_active_policy(self) -> None:
-        """Another version is active: operations from now on belong to it, earlier ones keep theirs."""
+        """Applies a newly active version to new operations; operations in flight keep theirs."""
         active = self.member.active
         source = f"policy {active.version}"
         self.edge.apply_deployment(documents.merge(self.edge.own_deployment, active.text, source))
 
     def _may_serve(self) -> bool:
-        # An edge that stood still wakes with its lease over, and its sockets are read before its timers run.
+        # After a stall of the process the lease may have expired, and sockets are read before timers run.
         self._apply()
         return self.member.is_serving()
 
     def _on_fenced(self, floor: int) -> None:
-        """A node rejected an attempt: this edge's version is older than any still in use."""
+        """Handles a node's rejection of an attempt whose policy version is older than any still in use."""
         if floor > self.member.fenced_below:
             self.member.on_fenced(floor)
             self.log.error("policy.fenced", version=self.member.active_version, floor=floor)
             self._apply()
 
     def _apply(self) -> None:
-        """Has the driver apply what is in force at this moment, and reports a change of it."""
+        """Applies the policy that is effective now, and reports it if it has changed."""
         now, member = self.loop.time(), self.member
         state = PolicyState(
             member.active_version,
@@ -149,8 +149,8 @@
         self.edge.on_policy_state(state)
 
     def _scale_limits(self, limits: Limits) -> None:
-        # The scheduler was built with some limits; others are fractions of them, the smaller of limit and
-        # burst.
+        # The scheduler's limits are fixed, so new ones are applied as a factor: the smaller of the ratios of
+        # limit and burst.
         scales = {}
         for folder, built in self.built_limits.items():
             if folder in limits and all(built):
@@ -163,7 +163,7 @@
         self.limit_scales = scales
 
     def _reduced_limits(self, limits: Limits) -> list[str]:
-        """Folders whose limit is lower than the active policy's, in words for the log."""
+        """Describes, for the log, the folders whose limit is lower than in the active policy."""
         active = self.member.active.limits() if self.member.active else {}
         return [
             f"{folder}: {limits[folder][0]:g} of {limit:g} units/s"
--- a/rushmux/edge/policy_codec.py
+++ b/rushmux/edge/policy_codec.py
@@ -1,4 +1,4 @@
-"""Leases of the fleet's policy on the wire, and the typed messages of `fleet.policy`."""
+"""Converts policy lease messages between protobuf and the types of `fleet.policy`."""
 
 from collections.abc import Mapping
 
@@ -9,10 +9,10 @@
 def decode_lease_grant(
     message: messages.PolicyGrant, known: Mapping[int, policy.Policy]
 ) -> policy.LeaseGrant:
-    """The grant of a message, whose policies may be left out where their versions are `known`.
+    """Decodes a grant; the message may leave out policies that are `known` by version.
 
     Raises:
-        WireError: A policy has a wrong checksum, or was left out and is not known.
+        WireError: A policy's checksum does not match, or the policy was left out and is not known.
     """
     active = _decode_policy(message.force, known)
     staged = _decode_policy(message.staged, known) if message.HasField("staged") else None
@@ -31,7 +31,7 @@
 
 
 def encode_lease_request(request: policy.LeaseRequest) -> messages.PolicyAsk:
-    """The message of a member's request."""
+    """Encodes a member's lease request."""
     return messages.PolicyAsk(
         member=request.member,
         ask=request.request_id,
--- a/rushmux/edge/policy_store.py
+++ b/rushmux/edge/policy_store.py
@@ -1,6 +1,7 @@
-"""The fleet's policy on an edge's disk: the active one and a staged change, from one start to the next.
+"""The fleet's policy on an edge's disk: the active policy and a staged change, kept across restarts.
 
-The file: magic, format, checksum and both policies as JSON, replaced atomically and synced.
+The file is JSON with a magic word, a format number, a checksum and both policies.  It is replaced atomically
+and synced.
 """
 
 import json
@@ -15,11 +16,11 @@
 from rushmux.settings.deployment import Deployment, DeploymentError
 
 MAGIC, FORMAT = "rushmux policy", 1
-MAX_FILE_BYTES = 1 << 20  # two policies with room
+MAX_FILE_BYTES = 1 << 20  # ample for two policies
 
 
 class StoredPolicyError(EdgeError):
-    """A stored policy that cannot be used.
+    """The stored policy cannot be used.
 
     Attributes:
         path: The file.
@@ -31,7 +32,7 @@
 
 
 class PolicyFormatError(StoredPolicyError):
-    """A program of another format wrote it; this one must not start on it, nor write over it.
+    """The file has another program version's format; this version must not start or overwrite the file.
 
     Attributes:
         format: The format of the file.
@@ -45,24 +46,24 @@
 
 
 class StoredPolicies(NamedTuple):
-    """The active policy and the staged one; None: there is none."""
+    """The active and the staged policy, where they exist."""
 
     active: policy.Policy | None = None
     staged: policy.Policy | None = None
 
 
 class PolicyStore:
-    """The file."""
+    """Reads and writes the policy file."""
 
     def __init__(self, path: str | Path):
         self.path = Path(path)
 
     def load(self) -> StoredPolicies:
-        """What the file holds; a file that is not there holds none.
+        """Reads the file; a missing file holds no policies.
 
         Raises:
-            PolicyFormatError: Another format.
-            StoredPolicyError: It cannot be read or is damaged: what the edge had accepted is unknown.
+            PolicyFormatError: The file has another format.
+            StoredPolicyError: The file is unreadable or damaged, so what the edge had accepted is unknown.
         """
         try:
             with open(self.path, "rb") as source:
@@ -81,27 +82,27 @@
         if magic != MAGIC or file_format != FORMAT:
             raise PolicyFormatError(self.path, file_format)
         if zlib.crc32(body.encode()) != checksum:
-            raise ValueError("its checksum is wrong")
+            raise ValueError("checksum mismatch")
         return StoredPolicies(*map(policy.policy_from_json, json.loads(body)))
 
     def save(self, active: policy.Policy | None, staged: policy.Policy | None) -> None:
-        """Writes both, synced; OSError where the disk does not take them."""
+        """Writes and syncs both policies; raises OSError if that fails."""
         body = json.dumps([policy.policy_to_json(active), policy.policy_to_json(staged)])
         content = json.dumps([MAGIC, FORMAT, zlib.crc32(body.encode()), body])
         atomic_write.replace_file(self.path, content.encode())
 
 
 class InitialPolicy(NamedTuple):
-    """The deployment that an edge starts on, and the policies that its disk held."""
+    """The deployment that an edge starts with, and the policies read from its disk."""
 
     deployment: Deployment
     stored: StoredPolicies
 
 
-def initial_policy(own: Deployment, store: PolicyStore, log) -> InitialPolicy:
-    """The deployment of an edge's own file under the policy that its disk holds.
+def initial_policy(own_deployment: Deployment, store: PolicyStore, log) -> InitialPolicy:
+    """Merges the stored policy into the deployment of the edge's own file.
 
-    A damaged policy counts as none: the edge serves nothing until a planner grants it one.
+    A damaged policy is ignored; the edge then serves nothing until a planner grants it one.
 
     Raises:
         PolicyFormatError: The edge must not start.
@@ -109,11 +110,11 @@
     try:
         stored = store.load()
         if stored.active is None:
-            return InitialPolicy(own, stored)
+            return InitialPolicy(own_deployment, stored)
         source = f"policy {stored.active.version}"
-        return InitialPolicy(documents.merge(own, stored.active.text, source), stored)
+        return InitialPolicy(documents.merge(own_deployment, stored.active.text, source), stored)
     except PolicyFormatError:
         raise
     except (StoredPolicyError, DeploymentError) as error:
         log.error("policy.load_failed", reason=str(error))
-        return InitialPolicy(own, StoredPolicies())
+        return InitialPolicy(own_deployment, StoredPolicies())
--- a/rushmux/edge/quota_client.py
+++ b/rushmux/edge/quota_client.py
@@ -1,4 +1,4 @@
-"""An edge's quotas, its shares of folders' limits: requests them of the planner, and applies grants."""
+"""The edge's client of quotas, its shares of folders' limits: requests them and applies grants."""
 
 import asyncio
 
@@ -7,12 +7,12 @@
 from rushmux.fleet.quotas import EdgeQuotas, QuotaGrant
 from rushmux.nodewire import messages
 
-MIN_INTERVAL = 0.1  # seconds: over a shorter time demand is not measured
-MAX_FOLDERS = 10_000  # folders of one request
+MIN_INTERVAL = 0.1  # seconds; the shortest interval that demand is averaged over
+MAX_FOLDERS = 10_000  # folders in one request
 
 
 class QuotaClient:
-    """Requests quotas of the folders whose plans have limits, and has the driver apply what is in force."""
+    """Keeps the quotas of all folders whose plans have limits up to date in the driver."""
 
     def __init__(self, driver: EdgeDriver, planner_client: PlannerClient, log):
         self.driver, self.planner_client, self.log = driver, planner_client, log
@@ -21,13 +21,13 @@
         self.demand = dict.fromkeys(self.limits, 0.0)  # units since the last request
         self.last_request_at = driver.loop.time()
         self.lease_timer: asyncio.TimerHandle | None = None
-        self.shares: dict[str, float] = {}  # as the driver applies them
+        self.shares: dict[str, float] = {}  # folder -> share set in the driver
         planner_client.on_quota_grant = self._on_grant_message
         driver.on_demand = self._on_demand
-        self._apply()  # no more than the safe quotas before anything was granted
+        self._apply()  # the safe quotas, until a grant arrives
 
     def _on_demand(self, folder: str, units: float) -> None:
-        """An operation came, whatever becomes of it."""
+        """Counts an operation's units, whether or not it succeeds."""
         if folder in self.demand:
             self.demand[folder] += units
 
@@ -62,13 +62,13 @@
         if not self.quotas.on_grant(loop.time(), grant):
             return
         self._apply()
-        # The lease may end while nothing else happens here.
+        # The expiry must be handled even if no other event occurs.
         if self.lease_timer is not None:
             self.lease_timer.cancel()
         self.lease_timer = loop.call_at(self.quotas.lease_expiry, self._apply)
 
     def _apply(self) -> None:
-        """Has the driver apply what is in force at this moment."""
+        """Sets the quotas that are effective now in the driver."""
         now = self.driver.loop.time()
         for folder in self.limits:
             share = self.quotas.quota(now, folder)
--- a/rushmux/edge/request_access.py
+++ b/rushmux/edge/request_access.py
@@ -1,4 +1,4 @@
-"""What a request touches, which decides what it waits for (`request_ordering`)."""
+"""Determines what a request accesses, and so which requests it waits for (`request_ordering`)."""
 
 import contextlib
 from collections.abc import Iterable
@@ -11,11 +11,11 @@
 from rushmux.sftp import packets as sftp
 
 LOOKUPS = (sftp.Stat, sftp.LStat, sftp.OpenDir, sftp.RealPath)
-MAX_EXTENDED_PATHS = 2  # a rename's
+MAX_EXTENDED_PATHS = 2  # as in a rename
 
 
 def access_of(packet: tuple, handles: HandleTable) -> Access:
-    """What a request touches; nothing where its path or handle means nothing."""
+    """Returns what a request accesses; no paths if its path or handle is invalid."""
     opened = handles.get(getattr(packet, "handle", None))
     if opened is not None:
         return _access_by_handle(packet, opened)
@@ -39,7 +39,7 @@
 
 
 def _access_of_extended(packet: sftp.Extended, handles: HandleTable) -> Access:
-    # Both paths of a rename; a handle where it is one of this session's.
+    # Each field may be a path, as in a rename, or a handle of this session.
     fields, texts = sftp.FieldReader(memoryview(packet.data)), []
     with contextlib.suppress(sftp.ProtocolError):
         while fields.has_more() and len(texts) < MAX_EXTENDED_PATHS:
--- a/rushmux/edge/request_context.py
+++ b/rushmux/edge/request_context.py
@@ -1,4 +1,4 @@
-"""What the handlers of one session's requests share: where a path leads, and how files are shown."""
+"""Shared by the handlers of one session's requests: path resolution and file attributes."""
 
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -16,48 +16,48 @@
     from rushmux.edge.edge import Edge
 
 RunnerFactory = Callable[[str], OperationRunner]
-"""Makes the runner of a request's operations in a folder."""
+"""Creates the runner of a request's operations in a folder."""
 
 Handler = Callable[[Any, RunnerFactory], Awaitable]
-"""Takes a request's packet, and gives the packet of its reply."""
+"""Takes a request's packet and returns its reply's packet."""
 
 
 class Location(NamedTuple):
-    """A folder and the names below it; ("", ()) is the root."""
+    """A folder and the names of a path below it; ("", ()) is the root."""
 
     folder: str
     names: Names
 
     @property
     def path(self) -> Names:
-        """The names from the root."""
+        """Names of the path from the root."""
         return (self.folder, *self.names)
 
 
 def status(request_id: int, code: int = sftp.OK, text: str = "done") -> sftp.Status:
-    """A status reply."""
+    """Builds a status reply."""
     return sftp.Status(request_id, code, text, "en")
 
 
 class RequestContext:
-    """One session's handles, and the edge that it is a session of."""
+    """A session's handles and its edge."""
 
     def __init__(self, edge: "Edge", handles: HandleTable):
         self.edge, self.handles, self.buffer = edge, handles, edge.buffer
 
     def locate(self, path: str) -> Location:
-        """Where a path leads.
+        """Resolves a path to a folder and the names below it.
 
         Raises:
             InvalidPathError: The path is not accepted.
-            RequestRejectedError: There is no such folder, or another edge serves it.
+            RequestRejectedError: The folder does not exist, or this edge does not serve it.
         """
         names = paths.split(path)
         if not names:
             return Location("", ())
         folder = names[0]
         if folder not in self.edge.deployment.folders:
-            raise RequestRejectedError(sftp.NO_SUCH_FILE, f"there is no folder '{folder}'")
+            raise RequestRejectedError(sftp.NO_SUCH_FILE, f"folder '{folder}' does not exist")
         if not self.edge.serves(folder):
             raise RequestRejectedError(
                 sftp.PERMISSION_DENIED, f"folder '{folder}' is not served by this edge"
@@ -66,16 +66,16 @@
         return Location(folder, names[1:])
 
     def locate_inside(self, path: str) -> Location:
-        """As `locate`, for what must lie in a folder."""
+        """Like `locate`, but rejects the root and the folders themselves."""
         location = self.locate(path)
         if not location.names:
             raise RequestRejectedError(
-                sftp.PERMISSION_DENIED, "folders are made and removed by the deployment file only"
+                sftp.PERMISSION_DENIED, "folders are changed only in the deployment file"
             )
         return location
 
     def attributes(self, folder: str, file_id: str, file: FileRow) -> sftp.Attributes:
-        """Attributes as clients see them: with the size that buffered writes give the file."""
+        """Returns a file's attributes for clients; the size includes buffered writes."""
         buffered_file = self.buffer and self.buffer.writes.find_file(folder, file_id)
         if buffered_file:
             file = file._replace(size=max(file.size, buffered_file.end))
--- a/rushmux/edge/request_handlers.py
+++ b/rushmux/edge/request_handlers.py
@@ -1,7 +1,7 @@
-"""What the edge does for each kind of request: a packet in, its reply packet out.
+"""Dispatches each request packet to its handler, which returns the reply packet.
 
-A handler raises an error (`edge.errors`, `files.paths.InvalidPathError`) where the request cannot be done;
-the session makes a status of it.
+A handler that cannot do its request raises an error (`edge.errors`, `files.paths.InvalidPathError`), which
+the session converts to a status reply.
 """
 
 import struct
@@ -18,16 +18,16 @@
 if TYPE_CHECKING:
     from rushmux.edge.edge import Edge
 
-SPACE_BLOCK_BYTES = 4_096  # of a block as statvfs counts them
+SPACE_BLOCK_BYTES = 4_096  # block size in statvfs replies
 SPACE_FIELDS = struct.Struct(">11Q")
 POSIX_RENAME, FSYNC, STATVFS = "posix-rename@openssh.com", "fsync@openssh.com", "statvfs@openssh.com"
 BARRIER = "barrier@rushmux"
-MAX_QUOTED_NAME = 64  # characters of an unknown extension's name that its status quotes
+MAX_QUOTED_NAME = 64  # characters of an unknown extension's name that are quoted in the status
 EXTENSIONS = ((POSIX_RENAME, b"1"), (FSYNC, b"1"), (STATVFS, b"2"), (BARRIER, b"1"))
 
 
 class RequestHandlers:
-    """The handlers of one session's requests, by the type of the packet."""
+    """The handlers of one session's requests, by packet type."""
 
     def __init__(self, edge: "Edge", handles: HandleTable):
         self.edge, self.buffer = edge, edge.buffer
@@ -60,17 +60,19 @@
         }
 
     def handler_for(self, packet: tuple) -> Handler:
-        """What does a request and gives its reply; RequestRejectedError where there is none."""
+        """Returns the handler of a request; raises RequestRejectedError if there is none."""
         handler = self.by_packet_type.get(type(packet))
         if handler is None:
-            raise RequestRejectedError(sftp.OP_UNSUPPORTED, f"requests of type {packet.code} are not offered")
+            raise RequestRejectedError(
+                sftp.OP_UNSUPPORTED, f"requests of type {packet.type_byte} are not supported"
+            )
         return handler
 
     async def _extended(self, packet: sftp.Extended, runner_for: RunnerFactory) -> tuple:
         handler = self.by_extension.get(packet.name)
         if handler is None:
             name = packet.name[:MAX_QUOTED_NAME]
-            raise RequestRejectedError(sftp.OP_UNSUPPORTED, f"extension '{name}' is not offered")
+            raise RequestRejectedError(sftp.OP_UNSUPPORTED, f"extension '{name}' is not supported")
         try:
             return await handler(packet, sftp.FieldReader(memoryview(packet.data)), runner_for)
         except sftp.ProtocolError as error:
@@ -81,7 +83,7 @@
     ) -> sftp.Status:
         folder = self.context.locate(fields.text()).folder
         if not folder:
-            raise RequestRejectedError(sftp.FAILURE, "a barrier is set over one folder")
+            raise RequestRejectedError(sftp.FAILURE, "a barrier needs the path of a folder")
         if self.buffer is not None:
             barrier = self.buffer.set_barrier(folder)
             await self.buffer.wait_for_barrier(folder, barrier, runner_for(folder))
@@ -90,7 +92,7 @@
     async def _statvfs(
         self, packet: sftp.Extended, fields: sftp.FieldReader, runner_for: RunnerFactory
     ) -> sftp.ExtendedReply:
-        """What the listed nodes have, in blocks."""
+        """Returns the total and free space of all listed nodes, in blocks."""
         self.context.locate(fields.text())
         disks = self.edge.driver.endpoint_table.disk_space.values()
         total = sum(disk.total for disk in disks) // SPACE_BLOCK_BYTES
--- a/rushmux/edge/request_ordering.py
+++ b/rushmux/edge/request_ordering.py
@@ -1,22 +1,22 @@
-"""Which requests of one session must wait for earlier ones.
+"""Determines which requests of a session must wait for earlier ones.
 
-The protocol lets a server answer in any order as long as the result is that of one at a time.  Reads run
-concurrently, and so do writes to ranges that do not overlap; a change of a name waits for all that runs at
-that name, above it or below it, and a lookup of attributes waits for writes there.
+SFTP lets a server process requests concurrently if the results are the same as in sequence.  Reads run
+concurrently, and so do writes to ranges that do not overlap.  A change of a name waits for all requests on
+that path and on paths above or below it, and a lookup of attributes waits for writes there.
 """
 
 import asyncio
 from enum import Enum, auto
 from typing import NamedTuple
 
-END_OF_FILE = 1 << 64  # bytes: past any offset
+END_OF_FILE = 1 << 64  # past any offset
 
 
 class AccessKind(Enum):
-    """What a request does to what it touches."""
+    """How a request accesses its paths."""
 
     LOOKUP = auto()
-    """Looks a name or its attributes up."""
+    """Looks up a name or its attributes."""
     MODIFY = auto()
     """Changes a name or its attributes."""
     READ = auto()
@@ -26,37 +26,37 @@
 
 
 class Access(NamedTuple):
-    """What a request touches: paths from the root, and a range of the file."""
+    """What a request accesses: paths from the root, and a range of the file."""
 
     kind: AccessKind
     paths: tuple[tuple[str, ...], ...] = ()
-    """Each path as its names; empty: nothing that others could touch."""
+    """Names of each path; empty: the request conflicts with no other."""
     start: int = 0
     end: int = END_OF_FILE
 
 
 class QueuedRequest(NamedTuple):
-    """A request that is not answered yet; `done` is set when it is."""
+    """A pending request; `done` is set when it is answered."""
 
     access: Access
     done: asyncio.Future
 
 
 class Admission(NamedTuple):
-    """A request's number in its session, and what it has to wait for."""
+    """A request's number in its session, and the requests that it must wait for."""
 
     number: int
     predecessors: list[asyncio.Future]
 
 
 def is_same_or_above(one: tuple[str, ...], other: tuple[str, ...]) -> bool:
-    """Whether one path is the other, or one lies above the other."""
+    """Whether two paths are equal, or either lies above the other."""
     shorter = min(len(one), len(other))
     return one[:shorter] == other[:shorter]
 
 
 def conflict(one: Access, other: Access) -> bool:
-    """Whether the two must not run concurrently."""
+    """Whether two accesses must not run concurrently."""
     kinds = (one.kind, other.kind)
     if AccessKind.MODIFY not in kinds and AccessKind.WRITE not in kinds:
         return False
@@ -68,7 +68,7 @@
 
 
 class RequestOrder:
-    """The requests of one session that are not answered yet, in the order they came."""
+    """The pending requests of one session, in order of arrival."""
 
     def __init__(self):
         self.requests: dict[int, QueuedRequest] = {}
@@ -78,7 +78,7 @@
         return len(self.requests)
 
     def admit(self, access: Access) -> Admission:
-        """Takes in a request."""
+        """Adds a request and returns which earlier ones it must wait for."""
         predecessors = [
             request.done for request in self.requests.values() if conflict(access, request.access)
         ]
@@ -88,5 +88,5 @@
         return Admission(self.request_count, predecessors)
 
     def complete(self, number: int) -> None:
-        """A request was answered; what waits for it may go on."""
+        """Marks a request as answered, which releases those waiting for it."""
         self.requests.pop(number).done.set_result(None)
--- a/rushmux/edge/session.py
+++ b/rushmux/edge/session.py
@@ -1,7 +1,6 @@
-"""One client's session: packets in, replies out, each request under its own deadline.
+"""A client session: reads packets, runs each request under its own deadline, and writes replies.
 
-Whatever happens to one request is its own reply; the session ends only where the stream itself cannot be
-followed.
+A request that fails gets an error reply; the session ends only if the packet stream itself is invalid.
 """
 
 import asyncio
@@ -28,9 +27,9 @@
 if TYPE_CHECKING:
     from rushmux.edge.edge import Edge
 
-REPLY_MARGIN = 0.05  # seconds of a client's time that are reserved for the way of the reply
+REPLY_MARGIN = 0.05  # seconds of a request's time limit that are reserved for sending the reply
 READ_SIZE = 1 << 17  # bytes of one read from the socket
-MAX_UNREAD = 1 << 20  # bytes of replies that the client has not read, until no more of it is read
+MAX_UNREAD = 1 << 20  # bytes of unread replies; with more, no further requests are read
 NOT_REQUESTS = (
     sftp.Init,
     sftp.Version,
@@ -44,24 +43,24 @@
 
 
 class SessionEndedError(EdgeError):
-    """The session cannot go on; the text is the reason that is logged."""
+    """The session cannot continue; the text is the logged reason."""
 
 
 class Request(NamedTuple):
-    """A request that is not answered yet."""
+    """A pending request."""
 
     packet: tuple
     number: int
-    """Of the session's packets that need a reply."""
+    """Counts the session's packets that need a reply."""
     access: Access
     admission: Admission
 
 
 class Session:
-    """A connection of a client from its first byte to its last.
+    """One client connection.
 
     Attributes:
-        tasks: One for each request that is not answered yet.
+        tasks: The tasks of pending requests.
     """
 
     def __init__(self, edge: "Edge", name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
@@ -70,7 +69,7 @@
         self.limits = edge.deployment.sessions
         self.replies = CoalescingWriter(writer)
         self.packets = sftp.PacketSplitter()
-        self.packet_begun_at: float | None = None  # the loop's time; None: no packet is read in part
+        self.packet_started_at: float | None = None  # loop time; None: no packet is incomplete
         self.established, self.request_count = False, 0
         self.handles = HandleTable(name, self.limits.max_handles)
         self.handlers = RequestHandlers(edge, self.handles)
@@ -81,15 +80,15 @@
         self.unread_timer: asyncio.TimerHandle | None = None
 
     async def run(self) -> None:
-        """Serves until the client leaves, breaks the protocol, or the edge cancels it."""
-        reason = "left"
+        """Serves until the client disconnects, violates the protocol, or the edge cancels the session."""
+        reason = "disconnected"
         try:
             while True:
                 await self._read_requests()
         except (SessionEndedError, sftp.ProtocolError) as error:
             reason = str(error)
         except OSError as error:
-            reason = f"broken: {error}"
+            reason = f"connection error: {error}"
         finally:
             await self._close(reason)
 
@@ -105,36 +104,38 @@
         self.writer.close()
         self.log.info("session.closed", reason=reason, requests=self.request_count)
 
-    # Packets in.
+    # Packets.
 
     async def _read_requests(self) -> None:
-        """Reads once and begins the requests that this completes."""
+        """Reads from the socket once and starts the requests that the data completes."""
         for body in self._complete_packets(await self._read()):
             await self._on_packet(body)
             if self.unread_timer is not None:
                 self.replies.flush()
-                await self.writer.drain()  # more is begun when its replies were taken
+                await self.writer.drain()  # no further requests until the client has read its replies
 
     async def _read(self) -> bytes:
-        # A client that sends a byte a second would occupy a session with no packet ever complete.
+        # Without the timeout, a client that sends a byte a second could occupy a session forever.
         time_left = None
-        if self.packet_begun_at is not None:
-            time_left = self.packet_begun_at + self.limits.packet_timeout - self.loop.time()
+        if self.packet_started_at is not None:
+            time_left = self.packet_started_at + self.limits.packet_timeout - self.loop.time()
         try:
             async with asyncio.timeout(time_left):
                 data = await self.reader.read(READ_SIZE)
         except TimeoutError:
-            raise SessionEndedError(f"a packet not whole after {self.limits.packet_timeout} s") from None
+            raise SessionEndedError(f"packet incomplete after {self.limits.packet_timeout} s") from None
         if not data:
-            raise SessionEndedError("left within a packet" if self.packets.has_partial_packet else "left")
+            raise SessionEndedError(
+                "disconnected within a packet" if self.packets.has_partial_packet else "disconnected"
+            )
         return data
 
     def _complete_packets(self, data: bytes) -> list[bytes]:
         bodies = self.packets.feed(data)
         if not self.packets.has_partial_packet:
-            self.packet_begun_at = None
-        elif bodies or self.packet_begun_at is None:
-            self.packet_begun_at = self.loop.time()
+            self.packet_started_at = None
+        elif bodies or self.packet_started_at is None:
+            self.packet_started_at = self.loop.time()
         return bodies
 
     async def _on_packet(self, body: bytes) -> None:
@@ -152,7 +153,7 @@
         elif isinstance(packet, NOT_REQUESTS):
             raise SessionEndedError(f"{type(packet).__name__} in the middle of a session")
         else:
-            await self._begin_request(packet)
+            await self._start_request(packet)
 
     def _establish(self, packet) -> None:
         if not isinstance(packet, sftp.Init):
@@ -164,7 +165,7 @@
 
     # Requests.
 
-    async def _begin_request(self, packet) -> None:
+    async def _start_request(self, packet) -> None:
         self.request_count += 1
         if self.edge.closing:
             self._reply(status(packet.request_id, sftp.FAILURE, "shed: the edge is closing"))
@@ -179,10 +180,10 @@
         task.add_done_callback(self.tasks.pop)
 
     async def _answer(self, request: Request) -> None:
-        """One request from its arrival to its one reply."""
+        """Runs a request and sends its reply."""
         try:
             reply = await self._execute(request)
-        except Exception as error:  # whatever it is: the session's other requests go on
+        except Exception as error:  # must not end the session's other requests
             reply = self._error_status(request.packet, error)
         finally:
             self.order.complete(request.admission.number)
@@ -201,13 +202,13 @@
                 await predecessor
             await self._wait_for_recovery(request.access, deadline)
             handler = self.handlers.handler_for(request.packet)
-            # A stock client sends hundreds of reads ahead; begun all at once, most would be past their
-            # latency objective before their turn, and be shed.
+            # Stock clients send hundreds of reads ahead.  Started all at once, most would miss their latency
+            # objective while queued, and be shed.
             async with self.concurrency:
                 return await handler(request.packet, runner_for)
 
     async def _wait_for_recovery(self, access: Access, deadline: float) -> None:
-        """Waits until what an earlier start had buffered of the request's folders is on the nodes."""
+        """Waits until writes that an earlier start buffered for the request's folders are on the nodes."""
         buffer = self.edge.buffer
         if buffer is not None and buffer.recovering:
             for path in access.paths:
@@ -231,14 +232,14 @@
                 self.log.error("object.corrupted", object=error.object_name)
             case _:
                 self.log.exception("session.fault", request=type(packet).__name__)
-                text = "a fault of the gateway; it was logged"
+                text = "internal error of the gateway; it was logged"
         return status(packet.request_id, code, text)
 
-    # Replies out.
+    # Replies.
 
     def _reply(self, packet) -> None:
         self.replies.write(sftp.encode(packet))
-        # A client that sends and never reads would make its replies pile up here.
+        # Bounds the replies buffered for a client that does not read.
         if self.replies.buffered_bytes() > MAX_UNREAD and self.unread_timer is None:
             self.unread_timer = self.loop.call_later(self.limits.unread_timeout, self._on_unread_timeout)
 
--- a/rushmux/files/__init__.py
+++ b/rushmux/files/__init__.py
@@ -1,1 +1,1 @@
-"""Paths of clients' files and the layout of files on storage nodes; no I/O."""
+"""Client paths, and the layout of files on storage nodes; no I/O."""
--- a/rushmux/files/layout.py
+++ b/rushmux/files/layout.py
@@ -1,16 +1,15 @@
-"""How files lie on storage nodes: rows of a folder's names, blocks, extents; no I/O.
+"""The layout of files on storage nodes: rows, blocks and extents; no I/O.
 
-Rows, all of one folder in its home cell:
+A folder's rows are all stored in its home cell:
 
-    d/PARENT/NAME   entry of a directory: the id and the kind of what it names
-    i/ID            a file or directory: its attributes and, for a file, the id of its data
-    b/DATA/NUMBER   a block of a file: the extents that make it up, in order
-    x/MARK          garbage, objects to be dropped: {"objects": [[cell, object], ...]}
-                    or all of a file's: {"data": ID}
+    d/PARENT/NAME   directory entry: id and kind of a file or directory
+    i/ID            file or directory: attributes and, for a file, its data id
+    b/DATA/NUMBER   block of a file: its extents, in order
+    x/MARK          garbage, objects to drop: {"objects": [[cell, object], ...]},
+                    or all objects of a file: {"data": ID}
 
-Objects are written once under a name never used again and are changed by nobody; a block's row names them
-only after they were answered as written.  A write that was taken for lost and runs late makes an object that
-no row names.
+Objects are immutable and their names are never reused.  A block's row refers to an object only after its
+write was acknowledged, so a write that was given up and runs late creates an object that no row refers to.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -19,19 +18,19 @@
 
 import orjson
 
-ROOT = "0"  # id of a folder's own directory, which has no row
-BLOCK_DIGITS = 9  # decimal digits of a block's number, so that keys sort as numbers do
+ROOT = "0"  # id of a folder's top directory, which has no row
+BLOCK_DIGITS = 9  # block numbers are zero-padded, so that keys sort numerically
 
 
 class FileKind(StrEnum):
-    """What an entry of a directory names; values as in the rows."""
+    """The kind of a directory entry, as stored in rows."""
 
     FILE = "f"
     DIRECTORY = "d"
 
 
 class Extent(NamedTuple):
-    """Bytes `start` to `start + length` of a block: those of an object from `object_offset` on."""
+    """Bytes `start` to `start + length` of a block, stored in an object at `object_offset`."""
 
     start: int
     length: int
@@ -41,12 +40,12 @@
 
     @property
     def end(self) -> int:
-        """The first byte of the block past it."""
+        """Block offset just past the extent."""
         return self.start + self.length
 
 
 class FileRow(NamedTuple):
-    """Row of a file or a directory; times in seconds since 1970."""
+    """Row of a file or directory; times in seconds since 1970."""
 
     kind: FileKind
     mode: int
@@ -56,29 +55,29 @@
     uid: int = 0
     gid: int = 0
     data_id: str = ""
-    """Names its blocks; it changes when the file is emptied."""
+    """Id in the keys of the file's blocks; replaced when an open truncates the file."""
     block_size: int = 0
-    """Bytes in a block."""
+    """Block size in bytes."""
     batch_stamp: str = ""
-    """Stamp of the write-back batch that changed it last."""
+    """Stamp of the last write-back batch that changed the file; cleared by other writes."""
 
 
 class Entry(NamedTuple):
-    """Entry of a directory."""
+    """A directory entry."""
 
     file_id: str
     kind: FileKind
 
 
 class KeyRange(NamedTuple):
-    """The keys that lie between two, neither included."""
+    """The keys strictly between two keys."""
 
     after: str
     below: str
 
 
 class BlockRange(NamedTuple):
-    """Bytes of one block."""
+    """A byte range of one block."""
 
     number: int
     start: int
@@ -86,7 +85,7 @@
 
 
 class Garbage(NamedTuple):
-    """Objects to be dropped: (cell, object) each, and all of a file's by the id of its data ("": none)."""
+    """Objects to drop: a list of (cell, object), and all objects of a data id (empty: none)."""
 
     objects: Sequence[tuple[int, str]]
     data_id: str
@@ -99,42 +98,42 @@
 
 
 def entry_key(parent_id: str, name: str) -> str:
-    """Key of a directory's entry."""
+    """Returns the key of a directory entry."""
     return f"d/{parent_id}/{name}"
 
 
 def file_key(file_id: str) -> str:
-    """Key of a file's or a directory's row."""
+    """Returns the key of a file or directory row."""
     return f"i/{file_id}"
 
 
 def block_key(data_id: str, number: int) -> str:
-    """Key of a block's row."""
+    """Returns the key of a block's row."""
     return f"b/{data_id}/{number:0{BLOCK_DIGITS}d}"
 
 
 def block_number(key: str) -> int:
-    """The number in a block's key."""
+    """Returns the block number in a block's key."""
     return int(key.rsplit("/", 1)[1])
 
 
 def garbage_key(unique_name: str) -> str:
-    """Key of a row of garbage."""
+    """Returns the key of a garbage row."""
     return f"x/{unique_name}"
 
 
 def entry_keys(parent_id: str) -> KeyRange:
-    """The keys of the entries of a directory."""
+    """Returns the key range of a directory's entries."""
     return KeyRange(f"d/{parent_id}/", f"d/{parent_id}0")
 
 
 def block_keys(data_id: str, first: int = 0) -> KeyRange:
-    """The keys of a file's blocks from block `first` on."""
+    """Returns the key range of a file's blocks from block `first` on."""
     return KeyRange(block_key(data_id, first - 1) if first else f"b/{data_id}/", f"b/{data_id}0")
 
 
 def max_file_size(block_size: int) -> int:
-    """Bytes of the largest file with blocks of so many bytes."""
+    """Returns the maximum size of a file with the given block size."""
     return block_size * 10**BLOCK_DIGITS
 
 
@@ -142,49 +141,49 @@
 
 
 def pack_entry(file_id: str, kind: FileKind) -> bytes:
-    """Value of a directory's entry."""
+    """Encodes the value of a directory entry."""
     return orjson.dumps([file_id, kind])
 
 
 def unpack_entry(value: bytes) -> Entry:
-    """The entry of a row's value."""
+    """Decodes the value of a directory entry."""
     file_id, kind = orjson.loads(value)
     return Entry(file_id, FileKind(kind))
 
 
 def pack_file(file: FileRow) -> bytes:
-    """Value of a file's or a directory's row."""
+    """Encodes the value of a file or directory row."""
     return orjson.dumps(tuple(file))
 
 
 def unpack_file(value: bytes) -> FileRow:
-    """The file or directory of a row's value."""
+    """Decodes the value of a file or directory row."""
     kind, *rest = orjson.loads(value)
     return FileRow(FileKind(kind), *rest)
 
 
 def pack_block(extents: Iterable[Extent]) -> bytes:
-    """Value of a block's row."""
+    """Encodes the value of a block's row."""
     return orjson.dumps([tuple(extent) for extent in extents])
 
 
 def unpack_block(value: bytes) -> list[Extent]:
-    """The extents of a block's value."""
+    """Decodes the value of a block's row."""
     return [Extent(*row) for row in orjson.loads(value)]
 
 
 def pack_garbage_objects(objects: Sequence[tuple[int, str]]) -> bytes:
-    """Value of a row of garbage: objects as (cell, object)."""
+    """Encodes the value of a garbage row for objects given as (cell, object)."""
     return orjson.dumps({"objects": objects})
 
 
 def pack_garbage_data(data_id: str) -> bytes:
-    """Value of a row of garbage: all objects of a file's data."""
+    """Encodes the value of a garbage row for all objects of a file's data."""
     return orjson.dumps({"data": data_id})
 
 
 def unpack_garbage(value: bytes) -> Garbage:
-    """The garbage of a row's value."""
+    """Decodes the value of a garbage row."""
     fields = orjson.loads(value)
     return Garbage(fields.get("objects", ()), fields.get("data", ""))
 
@@ -193,7 +192,7 @@
 
 
 def split_by_block(offset: int, length: int, block_size: int) -> Iterator[BlockRange]:
-    """Cuts a range of a file by blocks, in order."""
+    """Splits a range of a file at block boundaries, in order."""
     end = offset + length
     while offset < end:
         number, start = divmod(offset, block_size)
@@ -203,7 +202,7 @@
 
 
 def overlay(extents: Iterable[Extent], new: Extent) -> list[Extent]:
-    """The extents with `new` over them: what it covers goes, what it cuts stays in part."""
+    """Returns the extents after `new` was written over them; overlapped ones are cut or removed."""
     result = []
     for old in extents:
         if old.start < new.start:
@@ -215,13 +214,13 @@
                     start=old.start + cut, length=old.length - cut, object_offset=old.object_offset + cut
                 )
             )
-    # An extent that lies whole on one side was appended once by one of the two lines above.
+    # An extent that does not overlap `new` met exactly one of the conditions and was kept unchanged.
     result.append(new)
     return sorted(result)
 
 
 def truncate(extents: Iterable[Extent], length: int) -> list[Extent]:
-    """What is left of a block of which `length` bytes stay."""
+    """Returns the extents of a block that is truncated to `length` bytes."""
     return [
         extent._replace(length=min(extent.length, length - extent.start))
         for extent in extents
@@ -230,7 +229,7 @@
 
 
 def clip(extents: Iterable[Extent], start: int, length: int) -> list[Extent]:
-    """The parts of the extents that lie in a range, cut to it."""
+    """Returns the parts of extents that lie within a range."""
     result = []
     for extent in extents:
         low, high = max(start, extent.start), min(start + length, extent.end)
@@ -243,7 +242,7 @@
 
 
 def unreferenced(before: Iterable[Extent], after: Iterable[Extent]) -> list[tuple[int, str]]:
-    """Objects that the extents before name and those after do not: (cell, object), each once."""
+    """Returns each (cell, object) that extents in `before` refer to and extents in `after` do not."""
     referenced = {extent.object_name for extent in after}
     cell_of = {extent.object_name: extent.cell for extent in before if extent.object_name not in referenced}
     return [(cell, name) for name, cell in cell_of.items()]
--- a/rushmux/files/paths.py
+++ b/rushmux/files/paths.py
@@ -1,17 +1,17 @@
-"""Paths of clients: text to a folder and the names below it, and the cell of a folder; no I/O."""
+"""Parses client paths and determines the home cell of a folder; no I/O."""
 
 import hashlib
 
-MAX_NAME_BYTES = 255  # of a name: what file systems of clients hold
-MAX_DEPTH = 64  # names in a path: each is a row to read
+MAX_NAME_BYTES = 255  # the limit of common client file systems
+MAX_DEPTH = 64  # names in a path; each costs reading its rows
 MAX_PATH_BYTES = 4_096
 
 Names = tuple[str, ...]
-"""A path as its names, from the root or from a folder."""
+"""The names of a path, from the root or from a folder."""
 
 
 class InvalidPathError(Exception):
-    """A path that is not accepted, in one plain sentence.
+    """A path is not accepted; the text says why.
 
     Attributes:
         path: The path.
@@ -23,34 +23,34 @@
 
 
 def split(path: str) -> Names:
-    """The names of a path from the root, with `.` and `..` resolved.
+    """Splits a path from the root into names, with `.` and `..` resolved.
 
     Raises:
-        InvalidPathError: It holds a NUL, leads above the root, or is longer or deeper than the bounds above.
+        InvalidPathError: The path contains NUL, leads above the root, or exceeds one of the limits above.
     """
     if "\0" in path:
-        raise InvalidPathError(path, "a path with a NUL")
+        raise InvalidPathError(path, "path contains a NUL character")
     if len(path.encode()) > MAX_PATH_BYTES:
-        raise InvalidPathError(path, f"a path of over {MAX_PATH_BYTES} bytes")
+        raise InvalidPathError(path, f"path is longer than {MAX_PATH_BYTES} bytes")
     names = []
     for name in path.split("/"):
         if name == "..":
-            if not names:  # a client must not climb out of its folder
+            if not names:  # clients must not escape their folders
                 raise InvalidPathError(path, "'..' leads above the root")
             names.pop()
         elif name not in ("", "."):
             if len(name.encode()) > MAX_NAME_BYTES:
-                raise InvalidPathError(path, f"a name of over {MAX_NAME_BYTES} bytes")
+                raise InvalidPathError(path, f"name is longer than {MAX_NAME_BYTES} bytes")
             names.append(name)
     if len(names) > MAX_DEPTH:
-        raise InvalidPathError(path, f"a path of over {MAX_DEPTH} names")
+        raise InvalidPathError(path, f"path has more than {MAX_DEPTH} names")
     return tuple(names)
 
 
 def home_cell(folder: str, cell_count: int) -> int:
-    """The cell that holds a folder's names: the highest of a hash for each cell (rendezvous hashing).
+    """Returns the cell that stores a folder's rows, by rendezvous hashing.
 
-    It follows from the name and the number of cells alone, and few folders move when that number changes.
+    It depends only on the folder's name and the number of cells; few folders move when that number changes.
     """
 
     def weight(cell):
--- a/rushmux/nodewire/__init__.py
+++ b/rushmux/nodewire/__init__.py
@@ -1,4 +1,4 @@
-"""The protocol between gateways, storage nodes and the list of nodes: messages and frames, no I/O."""
+"""The protocol between gateways, storage nodes and planners: messages and frames; no I/O."""
 
 from rushmux.nodewire import messages_pb2 as messages
 from rushmux.nodewire.frames import MAX_FRAME, VERSION, FrameReader, WireError, frame
--- a/rushmux/nodewire/frames.py
+++ b/rushmux/nodewire/frames.py
@@ -1,7 +1,7 @@
-"""Frames of the protocol between gateways, storage nodes and the list of nodes; no I/O.
+"""Frames of the protocol between gateways, storage nodes and planners; no I/O.
 
-A frame is four bytes of length, big-endian, and one `Message` of messages.proto.  To make
-messages_pb2.py anew: `python -m grpc_tools.protoc -I. --python_out=. rushmux/nodewire/messages.proto`.
+A frame is a four-byte big-endian length and one `Message` of messages.proto.  To regenerate messages_pb2.py:
+`python -m grpc_tools.protoc -I. --python_out=. rushmux/nodewire/messages.proto`.
 """
 
 import struct
@@ -11,48 +11,48 @@
 from rushmux.nodewire.messages_pb2 import Message
 
 VERSION = 1
-MAX_FRAME = 1 << 20  # bytes in a frame: an object of the largest size and its envelope, with room
+MAX_FRAME = 1 << 20  # bytes; ample for an object of the maximum size and its envelope
 LENGTH = struct.Struct(">I")
 
 
 class WireError(Exception):
-    """Bytes that are no frame, or a message that is out of place; the connection is of no more use."""
+    """An invalid frame or an unexpected message; the connection must be closed."""
 
 
 def frame(message: Message) -> bytes:
-    """The bytes of one message; WireError where it is longer than a frame may be."""
+    """Encodes a message as a frame; raises WireError if it exceeds the maximum size."""
     body = message.SerializeToString()
     if len(body) > MAX_FRAME:
-        raise WireError(f"a message of {len(body)} bytes; a frame holds {MAX_FRAME}")
+        raise WireError(f"message of {len(body)} bytes exceeds the maximum of {MAX_FRAME}")
     return LENGTH.pack(len(body)) + body
 
 
 class FrameReader:
-    """Takes bytes as they come and gives whole messages.  Holds one frame and one read at the most."""
+    """Decodes messages from a stream; buffers at most one frame and one read."""
 
     def __init__(self, max_size: int = MAX_FRAME):
         self.max_size, self.buffer = max_size, bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that `data` completes; WireError for a length or a message that cannot be."""
+        """Returns the messages that `data` completes; raises WireError if a length or message is invalid."""
         self.buffer += data
-        found, at = [], 0
-        while len(self.buffer) - at >= LENGTH.size:
-            (length,) = LENGTH.unpack_from(self.buffer, at)
-            # A peer that states a huge length would make this side wait for it, and buffer it.
+        found, position = [], 0
+        while len(self.buffer) - position >= LENGTH.size:
+            (length,) = LENGTH.unpack_from(self.buffer, position)
+            # Without this check, a peer that states a huge length would have it all buffered.
             if length > self.max_size:
-                raise WireError(f"a frame of {length} bytes; {self.max_size} is the most")
-            end = at + LENGTH.size + length
+                raise WireError(f"frame of {length} bytes exceeds the maximum of {self.max_size}")
+            end = position + LENGTH.size + length
             if len(self.buffer) < end:
                 break
             message = Message()
             try:
-                message.ParseFromString(bytes(self.buffer[at + LENGTH.size : end]))
-            except DecodeError as fault:
-                raise WireError(f"a frame of {length} bytes is no message: {fault}") from fault
+                message.ParseFromString(bytes(self.buffer[position + LENGTH.size : end]))
+            except DecodeError as error:
+                raise WireError(f"frame of {length} bytes is not a message: {error}") from error
             if message.WhichOneof("body") is None:
-                raise WireError("a message of no kind known here")
+                raise WireError("message of an unknown kind")
             found.append(message)
-            at = end
-        del self.buffer[:at]
+            position = end
+        del self.buffer[:position]
         return found
--- a/rushmux/sftp/__init__.py
+++ b/rushmux/sftp/__init__.py
@@ -1,1 +1,1 @@
-"""The codec of SFTP version 3 (draft-ietf-secsh-filexfer-02): fields, packets and their stream; no I/O."""
+"""A codec of SFTP version 3 (draft-ietf-secsh-filexfer-02): fields, packets and streams; no I/O."""
--- a/rushmux/sftp/fields.py
+++ b/rushmux/sftp/fields.py
@@ -1,4 +1,4 @@
-"""Fields of SFTP packets: how each kind of field is read and written."""
+"""Decodes and encodes the fields of SFTP packets."""
 
 import struct
 from collections.abc import Callable
@@ -6,16 +6,16 @@
 
 U32, U64 = struct.Struct(">I"), struct.Struct(">Q")
 
-# Which fields are present in attributes.
+# Flags of the fields present in attributes.
 HAS_SIZE, HAS_OWNER, HAS_MODE, HAS_TIMES, HAS_EXTENDED = 1, 2, 4, 8, 0x80000000
 
 
 class ProtocolError(Exception):
-    """Bytes that are no packet.
+    """Data is not a valid packet.
 
     Attributes:
-        request_id: The packet's id, where that could be read.
-        ends_stream: Whether the stream cannot be followed any more.
+        request_id: The packet's id; None: it could not be read.
+        ends_stream: Whether the rest of the stream cannot be decoded.
     """
 
     def __init__(self, reason: str, request_id: int | None = None, ends_stream: bool = False):
@@ -24,7 +24,7 @@
 
 
 class Attributes(NamedTuple):
-    """File attributes; None where not given.  Times are whole seconds since 1970."""
+    """File attributes; None: not present.  Times are whole seconds since 1970."""
 
     size: int | None = None
     uid: int | None = None
@@ -43,7 +43,7 @@
 
 
 class FieldReader:
-    """Reads fields of one packet in turn; ProtocolError where they run past its end."""
+    """Reads a packet's fields in sequence; raises ProtocolError if one exceeds the packet."""
 
     def __init__(self, data: bytes | memoryview, position: int = 0):
         self.data, self.position = data, position
@@ -51,35 +51,35 @@
     def _take(self, count: int) -> bytes | memoryview:
         available = len(self.data) - self.position
         if count > available:
-            raise ProtocolError(f"a field of {count} bytes where {available} are left")
+            raise ProtocolError(f"field of {count} bytes exceeds the {available} bytes left")
         self.position += count
         return self.data[self.position - count : self.position]
 
     def has_more(self) -> bool:
-        """Whether bytes are left."""
+        """Whether any bytes are left."""
         return self.position < len(self.data)
 
     def u32(self) -> int:
-        """A number of four bytes."""
+        """Reads a four-byte number."""
         return U32.unpack(self._take(U32.size))[0]
 
     def u64(self) -> int:
-        """A number of eight bytes."""
+        """Reads an eight-byte number."""
         return U64.unpack(self._take(U64.size))[0]
 
     def raw(self) -> bytes:
-        """Bytes after their length."""
+        """Reads length-prefixed bytes."""
         return bytes(self._take(self.u32()))
 
     def text(self) -> str:
-        """UTF-8 text after its length."""
+        """Reads length-prefixed UTF-8 text."""
         try:
             return self.raw().decode()
         except UnicodeDecodeError as error:
-            raise ProtocolError(f"text that is not UTF-8: {error.reason}") from error
+            raise ProtocolError(f"text is not valid UTF-8: {error.reason}") from error
 
     def attributes(self) -> Attributes:
-        """Attributes; extended ones are skipped."""
+        """Reads attributes and skips extended ones."""
         flags = self.u32()
         size = self.u64() if flags & HAS_SIZE else None
         uid, gid = (self.u32(), self.u32()) if flags & HAS_OWNER else (None, None)
@@ -92,18 +92,18 @@
         return Attributes(size, uid, gid, mode, atime, mtime)
 
     def names(self) -> tuple[Name, ...]:
-        """Entries of a listing after their number."""
+        """Reads the entries of a listing, prefixed by their number."""
         return tuple(Name(self.text(), self.text(), self.attributes()) for _ in range(self.u32()))
 
     def pairs(self) -> tuple[tuple[str, bytes], ...]:
-        """Names and data of extensions, to the packet's end."""
+        """Reads names and data of extensions up to the end of the packet."""
         pairs = []
         while self.has_more():
             pairs.append((self.text(), self.raw()))
         return tuple(pairs)
 
     def rest(self) -> bytes:
-        """All that is left."""
+        """Reads all remaining bytes."""
         return bytes(self._take(len(self.data) - self.position))
 
 
@@ -155,4 +155,4 @@
     "names": _encode_names,
     "pairs": _encode_pairs,
 }
-"""Kind of a field, which is the name of its method of `FieldReader`, -> what writes it."""
+"""Kind of a field (the name of its `FieldReader` method) -> its encoder."""
--- a/rushmux/sftp/packets.py
+++ b/rushmux/sftp/packets.py
@@ -1,8 +1,7 @@
-"""SFTP packets: from bytes to values and back.
+"""SFTP packets, for servers and clients.
 
-A packet is four bytes of length, a type byte and its fields.  `decode` makes one value of a packet's bytes,
-`encode` the bytes of a value, `PacketSplitter` cuts a stream into packets.  Both sides of the protocol use
-the same classes, so a client is written with them as well.
+A packet is a four-byte length, a type byte and its fields.  `encode` and `decode` convert single packets, and
+`PacketSplitter` splits a byte stream into packets.
 """
 
 from collections.abc import Callable
@@ -10,14 +9,14 @@
 
 from rushmux.sftp.fields import ENCODERS, U32
 
-# Packets hold these, so that users of packets need them too.
+# Re-exported because packets contain them.
 from rushmux.sftp.fields import Attributes as Attributes
 from rushmux.sftp.fields import FieldReader as FieldReader
 from rushmux.sftp.fields import Name as Name
 from rushmux.sftp.fields import ProtocolError as ProtocolError
 
 VERSION = 3
-MAX_PACKET_BYTES = 262_144 + 1_024  # what stock clients send at most, and its fields
+MAX_PACKET_BYTES = 262_144 + 1_024  # the most data that stock clients send in a packet, and other fields
 
 # Status codes.
 OK, EOF, NO_SUCH_FILE, PERMISSION_DENIED, FAILURE, BAD_MESSAGE = 0, 1, 2, 3, 4, 5
@@ -31,7 +30,7 @@
 
 
 class PacketLayout(NamedTuple):
-    """A packet's type byte, and its fields with their kinds (methods of `FieldReader`) in their order."""
+    """A packet's type byte, and its fields in order, each with its kind (a method of `FieldReader`)."""
 
     type_byte: int
     fields: tuple[tuple[str, str], ...]
@@ -42,7 +41,7 @@
 
 
 def _packet(type_byte: int, /, **kinds: str) -> Callable[[str], type]:
-    """Declares a packet class by its type byte and the kinds of its fields."""
+    """Declares a packet class from its type byte and the kinds of its fields."""
 
     def declare(name):
         declared = NamedTuple(name, [(field, object) for field in kinds])
@@ -78,18 +77,18 @@
 Attrs = _packet(105, request_id="u32", attributes="attributes")("Attrs")
 ExtendedReply = _packet(201, request_id="u32", data="rest")("ExtendedReply")
 
-SYMLINK, READLINK = 20, 19  # type bytes that are known, and not offered
+SYMLINK, READLINK = 20, 19  # type bytes of unsupported requests
 
 
 class Unknown(NamedTuple):
-    """A packet of a type that is not offered; its request is to be answered OP_UNSUPPORTED."""
+    """A packet of an unsupported type, to be answered with OP_UNSUPPORTED."""
 
     request_id: int
-    code: int
+    type_byte: int
 
 
 def encode(packet: tuple) -> bytes:
-    """The bytes of a packet, its length included."""
+    """Encodes a packet, including its length prefix."""
     layout = LAYOUTS[type(packet)]
     parts = [ENCODERS[kind](value) for (_, kind), value in zip(layout.fields, packet, strict=True)]
     body = bytes((layout.type_byte,)) + b"".join(parts)
@@ -97,13 +96,13 @@
 
 
 def decode(body: bytes) -> tuple:
-    """The packet of a body, which is a packet's bytes without the length; ProtocolError where it is none."""
+    """Decodes a packet without its length prefix; raises ProtocolError if it is invalid."""
     if not body:
-        raise ProtocolError("a packet of no bytes")
+        raise ProtocolError("packet is empty")
     type_byte = body[0]
     if type_byte not in PACKET_BY_TYPE:
         if len(body) < 1 + U32.size:
-            raise ProtocolError(f"a packet of type {type_byte} with no id")
+            raise ProtocolError(f"packet of type {type_byte} has no request id")
         return Unknown(U32.unpack_from(body, 1)[0], type_byte)
     packet_type = PACKET_BY_TYPE[type_byte]
     reader, request_id, values = FieldReader(memoryview(body), 1), None, []
@@ -118,21 +117,21 @@
 
 
 class PacketSplitter:
-    """Cuts a stream into the bodies of packets; buffers one packet and one read at the most."""
+    """Splits a stream into packet bodies; buffers at most one packet and one read."""
 
     def __init__(self, max_bytes: int = MAX_PACKET_BYTES):
         self.max_bytes, self.buffered = max_bytes, bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Bodies that `data` completes; ProtocolError that ends the stream where a length cannot be."""
+        """Returns the bodies that `data` completes; raises ProtocolError for an invalid length."""
         self.buffered += data
         bodies, position = [], 0
         while len(self.buffered) - position >= U32.size:
             (length,) = U32.unpack_from(self.buffered, position)
-            # A length of gigabytes would be waited for, and buffered.
+            # Without this check, gigabytes could be buffered for one packet.
             if not 0 < length <= self.max_bytes:
                 raise ProtocolError(
-                    f"a packet of {length} bytes; 1 to {self.max_bytes} are taken", ends_stream=True
+                    f"packet of {length} bytes; the limits are 1 and {self.max_bytes}", ends_stream=True
                 )
             start = position + U32.size
             if len(self.buffered) < start + length:
--- a/tests/edge/test_hostile.py
+++ b/tests/edge/test_hostile.py
@@ -39,7 +39,7 @@
         ([sftp.encode(sftp.Stat(1, "/limon"))], False, "Stat before Init"),
         ([sftp.encode(sftp.Init(3, ()))], True, "Init in the middle"),
         ([sftp.encode(sftp.Status(1, 0, "", ""))], True, "Status in the middle"),
-        ([b"\0\0\0\2\x11\0"], True, "a field of 4 bytes where 1 are left"),
+        ([b"\0\0\0\2\x11\0"], True, "field of 4 bytes exceeds the 1 bytes left"),
     ],
 )
 def test_a_stream_that_cannot_be_followed_is_closed_with_a_reason(play, parts, begin, why):
@@ -167,7 +167,7 @@
         return await reader.read(1 << 16), await reader.read(1 << 16)
 
     fleet, (_, rest) = play(story)
-    assert rest == b"" and any("not whole after 5.0 s" in why for why in ended(fleet))
+    assert rest == b"" and any("packet incomplete after 5.0 s" in why for why in ended(fleet))
 
 
 def test_sessions_are_bounded(play, raw):
--- a/tests/nodewire/test_frames.py
+++ b/tests/nodewire/test_frames.py
@@ -35,5 +35,5 @@
 
 
 def test_a_message_of_no_kind_is_refused():
-    with pytest.raises(WireError, match="no kind"):
+    with pytest.raises(WireError, match="message of an unknown kind"):
         FrameReader().feed(b"\0\0\0\0")
