--- a/tests/edge/test_cold_fleet.py
+++ b/tests/edge/test_cold_fleet.py
@@ -1,8 +1,8 @@
-"""What all gateways together send to a cold node: twenty, thirty and two hundred modules on one clock.
+"""The load that 20, 30 and 200 gateways together put on a cold node, simulated on one clock.
 
-The node has the least capacity that the platform's settings go with: seen on limon-puerto (`fit`), the units
-that a cold node always bears are 1.2 times what the least node does at its start within the span, and the
-rule allows it as many times that as the settings' multiple.  Each module has its own seed and clients.
+The node has the smallest capacity that the settings support: the stated units that a cold node can always
+take are 1.2 times what such a node completes within the span right after its start.  The rule allows the
+settings' multiple of its capacity.  Each gateway has its own scheduler, seed and clients.
 """
 
 import heapq
@@ -27,27 +27,30 @@
 from rushmux.scheduling.records import SECOND
 from rushmux.scheduling.scheduler import Scheduler
 
-MEAN, SPAN, START, WARM, MULTIPLE = 2.2, 30_000, 0.17, 160_000, 3.0
-STATED = 1.2  # of the least node's work at its start within the span: the units stated as borne
-COLD_AT = 35_000  # ticks: when the node starts; the gateways know their cells by then
-DIALS = 2_500  # ticks: connections that come up late come up together, so far apart
-LANES = {"read": RequestClass("read", 4_000, 20_000, 3, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, False)}
+MEAN_UNITS, COLD_SPAN, START_CAPACITY, WARM_TIME, COLD_MULTIPLE = 2.2, 30_000, 0.17, 160_000, 3.0
+COLD_UNITS_FACTOR = 1.2  # stated cold units, relative to the smallest node's work in its first span
+COLD_START_AT = 35_000  # ticks; the node's start, when the gateways already know their cells
+CONNECT_INTERVAL = 2_500  # ticks; delayed connections all open at multiples of this
+REQUEST_CLASSES = {
+    "read": RequestClass("read", 4_000, 20_000, 3, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, False)
+}
 PLANS = {"base": QosPlan("base", 1e6, 5e5, 0, 0, 0, 1, 1)}
 
 
 class Fleet:
     """Gateways, and one cold node among warm ones.
 
-    `demand(chance, now, gateway)` gives the cell, and whether the volume goes through all gateways.
+    `demand(rng, now, gateway)` returns a request's cell, and whether all gateways use its volume.
     """
 
     def __init__(self, gateways, cells, rate, calls, demand, *, seed, listed_cold, restarted):
-        self.chance, self.now, self.heap, self.order = random.Random(seed), 0, [], itertools.count()
+        self.rng, self.now, self.heap, self.order = random.Random(seed), 0, [], itertools.count()
         self.cells, self.rate, self.demand, self.seed = cells, rate, demand, seed
-        stated = calls * MEAN
-        self.full = stated / STATED / (SPAN / SECOND) / START  # units a second once warm
+        cold_units = calls * MEAN_UNITS
+        # In units per second, when warm.
+        self.full_capacity = cold_units / COLD_UNITS_FACTOR / (COLD_SPAN / SECOND) / START_CAPACITY
         self.settings = SchedulerSettings(
-            LANES,
+            REQUEST_CLASSES,
             PLANS,
             gateways,
             20,
@@ -55,13 +58,13 @@
             0,
             3,
             0,
-            MEAN,
+            MEAN_UNITS,
             8,
-            stated,
-            SPAN,
-            MULTIPLE,
-            START,
-            WARM,
+            cold_units,
+            COLD_SPAN,
+            COLD_MULTIPLE,
+            START_CAPACITY,
+            WARM_TIME,
             SECOND,
             0,
             None,
@@ -69,32 +72,32 @@
             0,
             allows_cancellation=True,
         )
-        self.sent, self.served, self.free = [], 0, 0.0
-        self.cold_at = 1 if listed_cold else COLD_AT
-        self.gates = [None] * gateways
+        self.arrivals, self.served, self.busy_until = [], 0, 0.0
+        self.cold_at = 1 if listed_cold else COLD_START_AT
+        self.gateways = [None] * gateways
         for number in range(gateways):
-            self.at(self.chance.randrange(100), self.start, number, seed)
-            self.at(100 + self.chance.randrange(SECOND), self.ask, number)
+            self.schedule(self.rng.randrange(100), self.start, number, seed)
+            self.schedule(100 + self.rng.randrange(SECOND), self.submit_request, number)
             if restarted:
-                self.at(self.cold_at + self.chance.randrange(2 * SECOND), self.start, number, seed + 1_000)
+                self.schedule(self.cold_at + self.rng.randrange(2 * SECOND), self.start, number, seed + 1_000)
             if not listed_cold:
-                self.at(COLD_AT + self.chance.randrange(3_000), self.told, number)
+                self.schedule(COLD_START_AT + self.rng.randrange(3_000), self.apply_delta, number)
 
-    def at(self, when, call, *values):
+    def schedule(self, when, call, *values):
         heapq.heappush(self.heap, (when, next(self.order), call, values))
 
-    def play(self, until):
+    def run(self, until):
         while self.heap and self.heap[0][0] <= until:
             self.now, _, call, values = heapq.heappop(self.heap)
             call(*values)
         return self
 
     def start(self, number, seed):
-        gate = Gate(self, number)
-        self.gates[number] = gate
-        gate.module = Scheduler(self.settings, seed * 7_919 + number, self.now, gate)
+        gateway = Gateway(self, number)
+        self.gateways[number] = gateway
+        gateway.scheduler = Scheduler(self.settings, seed * 7_919 + number, self.now, gateway)
         cold = self.now >= self.cold_at or self.cold_at == 1
-        gate.module.on_endpoints(
+        gateway.scheduler.on_endpoints(
             self.now,
             UpdateKind.SNAPSHOT,
             [
@@ -109,8 +112,8 @@
             ],
         )
 
-    def told(self, number):
-        self.gates[number].module.on_endpoints(
+    def apply_delta(self, number):
+        self.gateways[number].scheduler.on_endpoints(
             self.now,
             UpdateKind.DELTA,
             [
@@ -118,125 +121,140 @@
                 Endpoint("cold", 0, "a", EndpointState.READY, self.cold_at),
             ],
         )
-        self.gates[number].module.run_round(self.now)
-
-    def ask(self, number):
-        self.at(self.now + 1 + int(self.chance.expovariate(self.rate) * SECOND), self.ask, number)
-        module, name = self.gates[number].module, f"o{next(self.order)}"
-        cell, everywhere = self.demand(self.chance, self.now, number)
-        units = min(8, 1 + int(self.chance.expovariate(1 / MEAN)))
-        volume, mounts = ("hot", len(self.gates)) if everywhere else (f"v{number}.{cell}", 1)
+        self.gateways[number].scheduler.run_round(self.now)
+
+    def submit_request(self, number):
+        self.schedule(
+            self.now + 1 + int(self.rng.expovariate(self.rate) * SECOND), self.submit_request, number
+        )
+        scheduler, name = self.gateways[number].scheduler, f"o{next(self.order)}"
+        cell, everywhere = self.demand(self.rng, self.now, number)
+        units = min(8, 1 + int(self.rng.expovariate(1 / MEAN_UNITS)))
+        volume, mounts = ("hot", len(self.gateways)) if everywhere else (f"v{number}.{cell}", 1)
         request = OperationRequest(name, "read", "base", volume, name, 20_000, units, cell, mounts, False)
-        module.on_operation(self.now, request)
-        module.run_round(self.now)
+        scheduler.on_operation(self.now, request)
+        scheduler.run_round(self.now)
 
     def capacity(self, when):
-        """Units a second."""
-        return self.full * min(1, START + (1 - START) * max(0, when - self.cold_at) / WARM)
+        """The cold node's capacity in units per second."""
+        return self.full_capacity * min(
+            1, START_CAPACITY + (1 - START_CAPACITY) * max(0, when - self.cold_at) / WARM_TIME
+        )
 
-    def arrives(self, units, until):
-        """A call's last byte has come to the cold node; when it is done, or None: not by `until`."""
-        self.sent.append((self.now, units / MEAN))
-        done = max(self.free, self.now) + units / self.capacity(self.now) * SECOND
+    def serve(self, units, until):
+        """Serves a call that arrived at the cold node; returns its end, or None if it is after `until`."""
+        self.arrivals.append((self.now, units / MEAN_UNITS))
+        done = max(self.busy_until, self.now) + units / self.capacity(self.now) * SECOND
         if done > until:
             return None
-        self.free = done
+        self.busy_until = done
         return int(done) + 1
 
-    def over(self):
-        """The most calls past N + 2 root of N + 2 that came within a span, N by the capacity amid it."""
+    def excess(self):
+        """Returns the largest excess of calls in a span over N + 2 sqrt(N) + 2.
+
+        N is the number of calls allowed by the node's capacity in the middle of the span.
+        """
         first, total, worst = 0, 0.0, float("-inf")
-        for at, calls in self.sent:
+        for time, calls in self.arrivals:
             total += calls
-            while self.sent[first][0] <= at - SPAN:
-                total -= self.sent[first][1]
+            while self.arrivals[first][0] <= time - COLD_SPAN:
+                total -= self.arrivals[first][1]
                 first += 1
-            allowed = MULTIPLE * self.capacity(at - SPAN // 2) * SPAN / SECOND / MEAN
+            allowed = COLD_MULTIPLE * self.capacity(time - COLD_SPAN // 2) * COLD_SPAN / SECOND / MEAN_UNITS
             worst = max(worst, total - allowed - 2 * allowed**0.5 - 2)
         return worst
 
 
-class Gate:
-    """What one module decides: its executions come back by the clock."""
+class Gateway:
+    """Runs one scheduler's attempts on the simulated clock."""
 
     def __init__(self, fleet, number):
-        self.fleet, self.number, self.module, self.sent = fleet, number, None, {}
+        self.fleet, self.number, self.scheduler, self.attempt_counts = fleet, number, None, {}
 
     def start_attempt(self, op_id, node, timeout):
-        fleet, count = self.fleet, self.sent.get(op_id, 0)
-        self.sent[op_id] = count + 1
+        fleet, count = self.fleet, self.attempt_counts.get(op_id, 0)
+        self.attempt_counts[op_id] = count + 1
         until = fleet.now + timeout
         if node == "cold":
-            up = -(-fleet.now // DIALS) * DIALS if fleet.chance.random() < 0.3 else fleet.now + 20
-            fleet.at(up, self.arrives, op_id, count, self.module.operations[op_id].units, until)
+            connected_at = (
+                -(-fleet.now // CONNECT_INTERVAL) * CONNECT_INTERVAL
+                if fleet.rng.random() < 0.3
+                else fleet.now + 20
+            )
+            fleet.schedule(
+                connected_at, self.on_arrival, op_id, count, self.scheduler.operations[op_id].units, until
+            )
         else:
-            fleet.at(
-                fleet.now + fleet.chance.randrange(300, 900), self.back, op_id, count, AttemptResult.SUCCEEDED
+            fleet.schedule(
+                fleet.now + fleet.rng.randrange(300, 900),
+                self.complete,
+                op_id,
+                count,
+                AttemptResult.SUCCEEDED,
             )
 
-    def arrives(self, op_id, count, units, until):
-        if self.fleet.gates[self.number] is self:
-            done = self.fleet.arrives(units, until)
-            self.fleet.at(
+    def on_arrival(self, op_id, count, units, until):
+        if self.fleet.gateways[self.number] is self:
+            done = self.fleet.serve(units, until)
+            self.fleet.schedule(
                 done or until,
-                self.back,
+                self.complete,
                 op_id,
                 count,
                 AttemptResult.SUCCEEDED if done else AttemptResult.TIMED_OUT,
             )
 
-    def back(self, op_id, count, result):
-        if self.fleet.gates[self.number] is self:
+    def complete(self, op_id, count, result):
+        if self.fleet.gateways[self.number] is self:
             self.fleet.served += result == AttemptResult.SUCCEEDED
             succeeded = result is AttemptResult.SUCCEEDED
             report = AttemptReport(op_id, count, result, succeeded, 5, 0.0)
-            self.module.on_attempt_result(self.fleet.now, report)
-            self.module.run_round(self.fleet.now)
+            self.scheduler.on_attempt_result(self.fleet.now, report)
+            self.scheduler.run_round(self.fleet.now)
 
     def wake_after(self, delay):
-        self.fleet.at(self.fleet.now + delay, self.woken)
+        self.fleet.schedule(self.fleet.now + delay, self.on_wake)
 
-    def woken(self):
-        if self.fleet.gates[self.number] is self:
-            self.module.run_round(self.fleet.now)
+    def on_wake(self):
+        if self.fleet.gateways[self.number] is self:
+            self.scheduler.run_round(self.fleet.now)
 
-    def ignored(self, *_):
-        """Answers to clients, and what these settings do not have."""
+    def ignore(self, *_):
+        """Ignores answers to clients, and actions that these settings do not use."""
 
-    shed = fail = poll_endpoints = cancel_attempt = request_load_report = ignored
+    shed = fail = poll_endpoints = cancel_attempt = request_load_report = ignore
 
 
 def even(cells):
-    return lambda chance, now, number: (chance.randrange(cells), False)
+    return lambda rng, now, number: (rng.randrange(cells), False)
 
 
 def few_cells(cells):
-    """Each gateway's volumes lie in six cells, as seen on the platform's days."""
-    return lambda chance, now, number: ((number * 7 + chance.randrange(6) * 13) % cells, False)
+    """Each gateway's volumes lie in six cells."""
+    return lambda rng, now, number: ((number * 7 + rng.randrange(6) * 13) % cells, False)
 
 
 def hot_key(cells):
-    """Two in five requests are for one volume's cell, from every gateway."""
-    return lambda chance, now, number: (
-        (0, True) if chance.random() < 0.4 else (chance.randrange(cells), False)
-    )
+    """Two in five requests of every gateway are for one volume in one cell."""
+    return lambda rng, now, number: (0, True) if rng.random() < 0.4 else (rng.randrange(cells), False)
 
 
 def one_cell(cells):
-    return lambda chance, now, number: (0, True)
+    return lambda rng, now, number: (0, True)
 
 
-def suddenly(cells):
-    """A scan's end: even, and from the node's start on all for one cell."""
-    return lambda chance, now, number: (0, True) if now >= COLD_AT else (chance.randrange(cells), False)
+def sudden_shift(cells):
+    """Even demand, which goes entirely to the cold node's cell from its start on, as when a scan ends."""
+    return lambda rng, now, number: (0, True) if now >= COLD_START_AT else (rng.randrange(cells), False)
 
 
-@pytest.mark.parametrize("demand", [even, few_cells, hot_key, one_cell, suddenly])
+@pytest.mark.parametrize("demand", [even, few_cells, hot_key, one_cell, sudden_shift])
 @pytest.mark.parametrize(
     "gateways, cells, rate, calls", [(20, 16, 16, 60), (30, 16, 5, 25), (200, 100, 1.5, 9)]
 )
 @pytest.mark.parametrize("listed_cold, restarted", [(False, False), (False, True), (True, False)])
-def test_all_gateways_together_keep_to_what_a_cold_node_bears(
+def test_all_gateways_together_do_not_overload_a_cold_node(
     *, demand, gateways, cells, rate, calls, listed_cold, restarted
 ):
     for seed in range(3):
@@ -250,5 +268,5 @@
             listed_cold=listed_cold,
             restarted=restarted,
         )
-        fleet.play(fleet.cold_at + 60_000)
-        assert fleet.sent and fleet.over() <= 0, seed
+        fleet.run(fleet.cold_at + 60_000)
+        assert fleet.arrivals and fleet.excess() <= 0, seed
--- a/tests/files/test_layout.py
+++ b/tests/files/test_layout.py
@@ -1,4 +1,4 @@
-"""Extents against a plain array of bytes; paths and home cells."""
+"""Extents, compared with a model that keeps every byte; paths and home cells."""
 
 import pytest
 from hypothesis import given, strategies
@@ -12,54 +12,56 @@
 )
 
 
-def overlaid(writes):
-    """Extents of the writes, and for each byte the object and the place in it that should be read."""
-    extents, plain = [], [None] * SIZE
+def apply_writes(writes):
+    """Returns the extents of the writes, and for each byte the object and offset to be read."""
+    extents, model = [], [None] * SIZE
     for number, (start, length) in enumerate(writes):
         length = min(length, SIZE - start)
         extents = layout.overlay(extents, Extent(start, length, f"o{number}", number % 3, 0))
-        plain[start : start + length] = [(f"o{number}", place) for place in range(length)]
-    return extents, plain
+        model[start : start + length] = [(f"o{number}", offset) for offset in range(length)]
+    return extents, model
 
 
 def read(extents):
     found = [None] * SIZE
     for extent in extents:
-        for place in range(extent.length):
-            assert found[extent.start + place] is None, "extents lie over each other"
-            found[extent.start + place] = extent.object_name, extent.object_offset + place
+        for offset in range(extent.length):
+            assert found[extent.start + offset] is None, "extents overlap"
+            found[extent.start + offset] = extent.object_name, extent.object_offset + offset
     return found
 
 
 @given(WRITES)
 def test_the_last_write_of_each_byte_is_read(writes):
-    extents, plain = overlaid(writes)
-    assert read(extents) == plain and extents == sorted(extents)
+    extents, model = apply_writes(writes)
+    assert read(extents) == model and extents == sorted(extents)
     assert layout.unpack_block(layout.pack_block(extents)) == extents
 
 
 @given(WRITES, strategies.integers(0, SIZE), strategies.integers(0, SIZE))
 def test_extents_are_clipped_and_truncated(writes, start, length):
-    extents, plain = overlaid(writes)
-    wanted = [byte if start <= place < start + length else None for place, byte in enumerate(plain)]
-    assert read(layout.clip(extents, start, length)) == wanted
-    assert read(layout.truncate(extents, length)) == plain[:length] + [None] * (SIZE - length)
+    extents, model = apply_writes(writes)
+    expected = [byte if start <= offset < start + length else None for offset, byte in enumerate(model)]
+    assert read(layout.clip(extents, start, length)) == expected
+    assert read(layout.truncate(extents, length)) == model[:length] + [None] * (SIZE - length)
 
 
 @given(WRITES, strategies.integers(0, SIZE))
-def test_objects_are_dropped_when_no_byte_of_theirs_is_left(writes, length):
-    extents, _ = overlaid(writes)
-    left = layout.truncate(extents, length)
-    gone = {name for _, name in layout.unreferenced(extents, left)}
-    assert gone == {extent.object_name for extent in extents} - {extent.object_name for extent in left}
+def test_objects_without_remaining_bytes_are_unreferenced(writes, length):
+    extents, _ = apply_writes(writes)
+    remaining = layout.truncate(extents, length)
+    dropped = {name for _, name in layout.unreferenced(extents, remaining)}
+    assert dropped == {extent.object_name for extent in extents} - {
+        extent.object_name for extent in remaining
+    }
 
 
 @given(strategies.integers(0, 1000), strategies.integers(0, 1000), strategies.integers(1, 50))
-def test_ranges_by_block_cover_a_range_of_a_file(offset, length, block_size):
+def test_block_ranges_cover_a_range_of_a_file(offset, length, block_size):
     covered = [
-        number * block_size + start + place
+        number * block_size + start + position
         for number, start, length_in_block in layout.split_by_block(offset, length, block_size)
-        for place in range(length_in_block)
+        for position in range(length_in_block)
     ]
     assert covered == list(range(offset, offset + length))
 
--- a/tests/nodewire/test_frames.py
+++ b/tests/nodewire/test_frames.py
@@ -3,30 +3,30 @@
 import contextlib
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import given, strategies
 
 from rushmux.nodewire import MAX_FRAME, FrameReader, WireError, frame, messages
 
 
-@given(some.lists(some.binary(max_size=300), max_size=6), some.integers(1, 200))
-def test_messages_come_back_however_the_stream_is_cut(datas, step):
+@given(strategies.lists(strategies.binary(max_size=300), max_size=6), strategies.integers(1, 200))
+def test_messages_are_decoded_however_the_stream_is_split(payloads, step):
     sent = [
-        messages.Message(outcome=messages.Outcome(corr=place, data=data)) for place, data in enumerate(datas)
+        messages.Message(outcome=messages.Outcome(corr=number, data=data))
+        for number, data in enumerate(payloads)
     ]
     stream, frames, found = b"".join(map(frame, sent)), FrameReader(), []
-    for at in range(0, len(stream), step):
-        found += frames.feed(stream[at : at + step])
+    for offset in range(0, len(stream), step):
+        found += frames.feed(stream[offset : offset + step])
     assert found == sent
 
 
-@given(some.binary(max_size=200))
-def test_no_bytes_make_the_frames_fail_otherwise(data):
+@given(strategies.binary(max_size=200))
+def test_arbitrary_data_raises_only_a_wire_error(data):
     with contextlib.suppress(WireError):
         FrameReader().feed(data)
 
 
-def test_a_length_that_cannot_be_is_refused_before_it_is_held():
+def test_an_excessive_length_is_rejected_before_the_frame_is_buffered():
     frames = FrameReader()
     with pytest.raises(WireError, match="2147483648"):
         frames.feed(b"\x80\0\0\0")
@@ -34,6 +34,6 @@
         frame(messages.Message(outcome=messages.Outcome(data=bytes(MAX_FRAME))))
 
 
-def test_a_message_of_no_kind_is_refused():
+def test_a_message_of_an_unknown_kind_is_rejected():
     with pytest.raises(WireError, match="message of an unknown kind"):
         FrameReader().feed(b"\0\0\0\0")
--- a/tests/sftp/test_packets.py
+++ b/tests/sftp/test_packets.py
@@ -1,4 +1,4 @@
-"""The codec: what is encoded comes back, and no bytes make it do anything but say so."""
+"""Encoding and decoding of SFTP packets, including malformed ones."""
 
 import contextlib
 
@@ -41,10 +41,10 @@
 
 
 @given(strategies.lists(PACKETS, max_size=5), strategies.integers(1, 50))
-def test_packets_come_back_however_the_stream_is_cut(packets, step):
+def test_packets_are_decoded_however_the_stream_is_split(packets, step):
     stream, splitter, found = b"".join(map(sftp.encode, packets)), sftp.PacketSplitter(), []
-    for at in range(0, len(stream), step):
-        found += splitter.feed(stream[at : at + step])
+    for offset in range(0, len(stream), step):
+        found += splitter.feed(stream[offset : offset + step])
     assert [sftp.decode(body) for body in found] == packets and not splitter.has_partial_packet
 
 
@@ -58,29 +58,29 @@
 
 
 @given(PACKETS, strategies.data())
-def test_a_packet_cut_or_changed_is_rejected_or_is_another_packet(packet, data):
+def test_a_truncated_or_altered_packet_raises_only_a_protocol_error(packet, data):
     body = bytearray(sftp.encode(packet)[4:])
-    place = data.draw(strategies.integers(0, len(body) - 1))
-    body[place] ^= data.draw(strategies.integers(1, 255))
-    for text in (bytes(body), bytes(body[:place])):
+    offset = data.draw(strategies.integers(0, len(body) - 1))
+    body[offset] ^= data.draw(strategies.integers(1, 255))
+    for malformed in (bytes(body), bytes(body[:offset])):
         with contextlib.suppress(sftp.ProtocolError):
-            sftp.decode(text)
+            sftp.decode(malformed)
 
 
 @pytest.mark.parametrize("length", [0, sftp.MAX_PACKET_BYTES + 1, 2**32 - 1])
-def test_a_length_that_cannot_be_ends_the_stream(length):
+def test_an_invalid_length_ends_the_stream(length):
     with pytest.raises(sftp.ProtocolError) as error:
         sftp.PacketSplitter().feed(length.to_bytes(4, "big") + b"x")
     assert error.value.ends_stream
 
 
-def test_a_bad_field_names_its_request():
+def test_an_error_in_a_field_carries_the_request_id():
     body = bytes([3]) + (7).to_bytes(4, "big") + (99).to_bytes(4, "big") + b"short"
     with pytest.raises(sftp.ProtocolError) as error:
         sftp.decode(body)
     assert error.value.request_id == 7 and "Open" in str(error.value)
 
 
-def test_an_unknown_type_keeps_its_request():
+def test_a_packet_of_an_unknown_type_keeps_its_request_id():
     body = bytes([sftp.SYMLINK]) + (9).to_bytes(4, "big") + b"junk"
     assert sftp.decode(body) == sftp.Unknown(9, sftp.SYMLINK)
