--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the gateway's tests: a deployment, and fleets on the virtual clock."""
+"""Fixtures of the edge's tests: a deployment, and fleets on the virtual clock."""
 
 import copy
 import json
@@ -16,27 +16,27 @@
 
 @pytest.fixture
 def raw():
-    """The example's text, to be changed at will."""
+    """The example deployment as JSON data, which tests may change."""
     return copy.deepcopy(EXAMPLE)
 
 
 @pytest.fixture
-def play(raw):
-    """Plays a story on a fleet of the example's deployment; the fleet and the story's result."""
+def run_fleet(raw):
+    """Runs `steps(fleet)` on a virtual fleet of the deployment; returns the fleet and the steps' result."""
 
-    def played(story, seed=3, **settings):
-        return fleet.play(build(raw), seed, story, **settings)
+    def run(steps, seed=3, **settings):
+        return fleet.play(build(raw), seed, steps, **settings)
 
-    return played
+    return run
 
 
 @pytest.fixture
-def judged(raw, play):
-    """Plays a story and holds its recordings against every rule; the fleet and the result."""
+def run_checked_fleet(raw, run_fleet):
+    """Like `run_fleet`, and checks the fleet's records against every rule."""
 
-    def played(story, **settings):
-        fleet, result = play(story, **settings)
+    def run(steps, **settings):
+        fleet, result = run_fleet(steps, **settings)
         assert not Checker(fleet.all_records(), build(raw), 0.005).breaches()
         return fleet, result
 
-    return played
+    return run
--- a/tests/edge/test_backoff.py
+++ b/tests/edge/test_backoff.py
@@ -1,4 +1,4 @@
-"""The pause after failed connects."""
+"""The backoff after failed connects."""
 
 import random
 
--- a/tests/edge/test_errors.py
+++ b/tests/edge/test_errors.py
@@ -1,4 +1,4 @@
-"""What errors of the edge tell operators, and what clients' status messages quote of them."""
+"""Texts of the edge's errors, for operators and in clients' status messages."""
 
 import pytest
 
@@ -15,11 +15,11 @@
         (errors.ObjectMissingError("edge0.5.1"), "edge0.5.1"),
     ],
 )
-def test_status_texts_are_those_that_clients_were_always_sent(error, text):
+def test_status_texts_stay_the_same_for_clients(error, text):
     assert error.status_text == text
 
 
-def test_errors_read_as_sentences_and_carry_their_values():
+def test_errors_have_readable_texts_and_carry_their_values():
     assert errors.OperationShedError(2.0).retry_after == 2.0
     assert errors.RequestRejectedError(sftp.NO_SUCH_FILE, "a: no such file").status_code == sftp.NO_SUCH_FILE
     assert str(errors.ObjectMissingError("o")) == "object o is not on its node"
--- a/tests/edge/test_hostile.py
+++ b/tests/edge/test_hostile.py
@@ -1,4 +1,4 @@
-"""Clients that break the protocol: a clear status or a closed connection, others untouched."""
+"""Clients that violate the protocol get an error status or are disconnected; other clients are unaffected."""
 
 import asyncio
 
@@ -7,11 +7,14 @@
 from rushmux.sftp import packets as sftp
 from rushmux.standins.client import ConnectionClosedError, StatusError
 
-PLAIN = sftp.Attributes()
+NO_ATTRIBUTES = sftp.Attributes()
 
 
-async def raw(fleet, *parts, begin=True):
-    """A connection that sends bytes as they are; all that comes back until it ends or a second passes."""
+async def send_raw(fleet, *parts, begin=True):
+    """Sends raw bytes over a new connection.
+
+    Returns the packets received within a second, and whether the connection was closed.
+    """
     reader, writer = await asyncio.open_connection(*fleet.edges[0].address)
     if begin:
         writer.write(sftp.encode(sftp.Init(3, ())))
@@ -27,7 +30,7 @@
     return found, True
 
 
-def ended(fleet):
+def close_reasons(fleet):
     return [row["reason"] for row in fleet.logs if row["event"] == "session.closed"]
 
 
@@ -42,68 +45,68 @@
         ([b"\0\0\0\2\x11\0"], True, "field of 4 bytes exceeds the 1 bytes left"),
     ],
 )
-def test_a_stream_that_cannot_be_followed_is_closed_with_a_reason(play, parts, begin, why):
-    async def story(fleet):
+def test_an_invalid_stream_is_closed_with_a_reason(run_fleet, parts, begin, why):
+    async def steps(fleet):
         other = await fleet.client(0)
-        _, closed = await raw(fleet, *parts, begin=begin)
+        _, closed = await send_raw(fleet, *parts, begin=begin)
         assert closed
         await other.put("/limon/a", b"untouched")
         return await other.get("/limon/a")
 
-    fleet, got = play(story)
-    assert got == b"untouched" and any(why in text for text in ended(fleet))
+    fleet, got = run_fleet(steps)
+    assert got == b"untouched" and any(why in text for text in close_reasons(fleet))
 
 
-def test_a_bad_packet_gets_its_own_status_and_the_session_goes_on(play):
-    async def story(fleet):
+def test_an_invalid_packet_gets_an_error_status_and_the_session_continues(run_fleet):
+    async def steps(fleet):
         bad = b"\x03" + (7).to_bytes(4, "big") + (99).to_bytes(4, "big")
-        return await raw(
+        return await send_raw(
             fleet,
             len(bad).to_bytes(4, "big") + bad,
             (5).to_bytes(4, "big") + b"\x14" + (8).to_bytes(4, "big"),
             sftp.encode(sftp.RealPath(9, "/limon/./x/..")),
         )
 
-    (_, bad, unknown, path), closed = play(story)[1]
+    (_, bad, unknown, path), closed = run_fleet(steps)[1]
     assert (bad.request_id, bad.code) == (7, sftp.BAD_MESSAGE)
     assert (unknown.request_id, unknown.code) == (8, sftp.OP_UNSUPPORTED)
     assert path.names[0].name == "/limon" and not closed
 
 
-def test_paths_handles_and_offsets_are_checked(play, raw):
+def test_paths_handles_and_offsets_are_checked(run_fleet, raw):
     raw["sessions"]["handles"] = 3
 
-    async def story(fleet):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(0)
-        asked = []
+        codes = []
 
-        async def status(client, kind, *fields):
-            with pytest.raises(StatusError) as refusal:
+        async def expect_error(client, kind, *fields):
+            with pytest.raises(StatusError) as error:
                 await client.ask(kind, *fields)
-            asked.append(refusal.value.status.code)
+            codes.append(error.value.status.code)
 
         for path in ("/..", "/limon/../../etc", "/limon/a\0b", "/limon/" + "x" * 300):
-            await status(one, sftp.Open, path, sftp.READ, PLAIN)
-        await status(one, sftp.MkDir, "/new", PLAIN)
-        await status(one, sftp.Open, "/nobody/x", sftp.READ, PLAIN)
-        await status(one, sftp.Open, "/limon/x", 0, PLAIN)
+            await expect_error(one, sftp.Open, path, sftp.READ, NO_ATTRIBUTES)
+        await expect_error(one, sftp.MkDir, "/new", NO_ATTRIBUTES)
+        await expect_error(one, sftp.Open, "/nobody/x", sftp.READ, NO_ATTRIBUTES)
+        await expect_error(one, sftp.Open, "/limon/x", 0, NO_ATTRIBUTES)
         handle = await one.open("/limon/x", sftp.WRITE | sftp.CREATE)
-        await status(two, sftp.Write, handle, 0, b"foreign")
-        await status(one, sftp.Write, handle, 2**63, b"far")
-        await status(one, sftp.Read, handle, 0, 10)
-        await status(one, sftp.SetStat, "/limon/x", sftp.Attributes(size=2**63))
-        await status(one, sftp.Extended, "fsync@openssh.com", b"\0\0\0\x09abc")
-        await status(one, sftp.Extended, "nothing@nowhere", b"")
+        await expect_error(two, sftp.Write, handle, 0, b"foreign")
+        await expect_error(one, sftp.Write, handle, 2**63, b"far")
+        await expect_error(one, sftp.Read, handle, 0, 10)
+        await expect_error(one, sftp.SetStat, "/limon/x", sftp.Attributes(size=2**63))
+        await expect_error(one, sftp.Extended, "fsync@openssh.com", b"\0\0\0\x09abc")
+        await expect_error(one, sftp.Extended, "nothing@nowhere", b"")
         for _ in range(2):
             await one.open("/limon/x", sftp.READ)
-        await status(one, sftp.Open, "/limon/x", sftp.READ, PLAIN)
+        await expect_error(one, sftp.Open, "/limon/x", sftp.READ, NO_ATTRIBUTES)
         await one.ask(sftp.Close, handle)
-        await status(one, sftp.Close, handle)
+        await expect_error(one, sftp.Close, handle)
         await one.open("/limon/x", sftp.READ)
-        return asked
+        return codes
 
     denied, failed = sftp.PERMISSION_DENIED, sftp.FAILURE
-    assert play(story)[1] == [denied] * 4 + [sftp.NO_SUCH_FILE] * 2 + [
+    assert run_fleet(steps)[1] == [denied] * 4 + [sftp.NO_SUCH_FILE] * 2 + [
         sftp.BAD_MESSAGE,
         failed,
         failed,
@@ -116,8 +119,8 @@
     ]
 
 
-def test_a_read_far_past_the_end_is_its_end(play):
-    async def story(fleet):
+def test_a_read_far_past_the_end_returns_end_of_file(run_fleet):
+    async def steps(fleet):
         one = await fleet.client(0)
         await one.put("/limon/x", b"short")
         handle = await one.open("/limon/x", sftp.READ)
@@ -125,19 +128,19 @@
             await one.ask(sftp.Read, handle, 2**64 - 1, 2**32 - 1)
         return (await one.ask(sftp.Read, handle, 0, 2**32 - 1)).data
 
-    assert play(story)[1] == b"short"
+    assert run_fleet(steps)[1] == b"short"
 
 
-def test_a_client_that_sends_and_never_reads_is_closed_and_holds_little(play, raw):
+def test_a_client_that_never_reads_is_disconnected_with_bounded_memory(run_fleet, raw):
     raw["sessions"]["unread_ms"] = 2_000
 
-    async def story(fleet):
+    async def steps(fleet):
         one = await fleet.client(0)
         await one.put("/limon/big", bytes(262_144))
         _, writer = await asyncio.open_connection(*fleet.edges[0].address)
         writer.transport.pause_reading()
         writer.write(sftp.encode(sftp.Init(3, ())))
-        writer.write(sftp.encode(sftp.Open(1, "/limon/big", sftp.READ, PLAIN)))
+        writer.write(sftp.encode(sftp.Open(1, "/limon/big", sftp.READ, NO_ATTRIBUTES)))
         await fleet.sleep(1)
         session = list(fleet.edges[0].program.sessions)[-1]
         handle = next(iter(session.handles.by_id))
@@ -150,15 +153,15 @@
         assert await one.get("/limon/big") == bytes(262_144)
         return most, session in fleet.edges[0].program.sessions
 
-    fleet, (most, lives) = play(story)
-    assert not lives and 1 << 20 < most < 64 * 262_144 + (2 << 20)
+    fleet, (most, is_open) = run_fleet(steps)
+    assert not is_open and 1 << 20 < most < 64 * 262_144 + (2 << 20)
     assert any(row["event"] == "session.client_not_reading" for row in fleet.logs)
 
 
-def test_a_client_that_sends_a_byte_a_second_is_closed(play, raw):
+def test_a_client_that_sends_a_byte_a_second_is_disconnected(run_fleet, raw):
     raw["sessions"]["packet_ms"] = 5_000
 
-    async def story(fleet):
+    async def steps(fleet):
         reader, writer = await asyncio.open_connection(*fleet.edges[0].address)
         writer.write(sftp.encode(sftp.Init(3, ())))
         for byte in sftp.encode(sftp.Stat(1, "/limon/none"))[:15]:
@@ -166,27 +169,27 @@
             await fleet.sleep(1)
         return await reader.read(1 << 16), await reader.read(1 << 16)
 
-    fleet, (_, rest) = play(story)
-    assert rest == b"" and any("packet incomplete after 5.0 s" in why for why in ended(fleet))
+    fleet, (_, rest) = run_fleet(steps)
+    assert rest == b"" and any("packet incomplete after 5.0 s" in why for why in close_reasons(fleet))
 
 
-def test_sessions_are_bounded(play, raw):
+def test_the_number_of_sessions_is_bounded(run_fleet, raw):
     raw["sessions"]["most"] = 2
 
-    async def story(fleet):
+    async def steps(fleet):
         kept = [await fleet.client(0) for _ in range(2)]
         with pytest.raises((ConnectionClosedError, OSError)):
             await fleet.client(0)
         return await kept[0].names("/limon")
 
-    assert play(story)[1] == []
+    assert run_fleet(steps)[1] == []
 
 
-def test_more_requests_than_are_taken_at_once_all_get_an_answer(play, raw):
+def test_requests_beyond_the_pipelining_limit_are_all_answered(run_fleet, raw):
     raw["sessions"]["pipelined"] = 4
 
-    async def story(fleet):
+    async def steps(fleet):
         one = await fleet.client(0)
         return len(await asyncio.gather(*(one.ask(sftp.Stat, "/limon") for _ in range(60))))
 
-    assert play(story)[1] == 60
+    assert run_fleet(steps)[1] == 60
--- a/tests/edge/test_loads.py
+++ b/tests/edge/test_loads.py
@@ -1,4 +1,4 @@
-"""Load reports that edges request of nodes: over real sockets on loopback, and through whole edges."""
+"""Load reports that edges request from nodes, over real sockets on loopback and in whole fleets."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
 
 
 def test_a_node_reports_its_load_over_an_open_connection():
-    async def story():
+    async def steps():
         quiet = log.to_list([], "info")
         store = Store(":memory:", 0, 1 << 20, 10.0)
         node = Node(
@@ -44,16 +44,16 @@
         )
         connections.set_address("n", Address(HOST, await node.open(HOST, 0)))
 
-        async def once(call, *values):
+        async def result_of(call, *values):
             future = asyncio.get_running_loop().create_future()
             call(*values, lambda result, reply: future.done() or future.set_result((result, reply)))
             return await asyncio.wait_for(future, 5)
 
         try:
-            assert await once(connections.request_load_report, "n") == (
+            assert await result_of(connections.request_load_report, "n") == (
                 AttemptResult.CONNECT_FAILED,
                 None,
-            )  # no connection is open: none is opened for it
+            )  # no connection is open, and none is opened for a load report
             execute = messages.Execute(
                 op="o",
                 volume="v",
@@ -61,11 +61,11 @@
                 time_out=40_000,
                 read=messages.ReadObject(object="none", length=1),
             )
-            assert (await once(connections.send, "n", execute))[0] == AttemptResult.SUCCEEDED
-            result, load = await once(connections.request_load_report, "n")
+            assert (await result_of(connections.send, "n", execute))[0] == AttemptResult.SUCCEEDED
+            result, load = await result_of(connections.request_load_report, "n")
             assert result == AttemptResult.SUCCEEDED and load.queue == 0 and 50 < load.service < 5_000
             node.start_fault("silent")
-            waiting = asyncio.ensure_future(once(connections.request_load_report, "n"))
+            waiting = asyncio.ensure_future(result_of(connections.request_load_report, "n"))
             await asyncio.sleep(0.05)
             assert not waiting.done()
             node.abort_connections()
@@ -74,25 +74,25 @@
             await connections.close()
             await node.close()
 
-    asyncio.run(story())
+    asyncio.run(steps())
 
 
 def node_states(fleet, node):
-    """What each edge's scheduler knows of a node: its expected service time, and its concurrency limit."""
+    """Returns a node's expected service times and concurrency limits in the edges' schedulers."""
     states = [part.program.driver.scheduler.endpoints.nodes[node] for part in fleet.edges.values()]
     return [state.expected_service for state in states], [state.limit.size for state in states]
 
 
 @pytest.fixture
-def states_of_slow_nodes(raw, play):
-    """Two seconds of reads from nodes that have grown slow; what the edges' schedulers then know of each."""
-    return lambda load: _states_of_slow_nodes(raw, play, load)
+def states_of_slow_nodes(raw, run_fleet):
+    """Reads from slow nodes for two seconds; returns the schedulers' node states."""
+    return lambda load: _states_of_slow_nodes(raw, run_fleet, load)
 
 
-def _states_of_slow_nodes(raw, play, load):
+def _states_of_slow_nodes(raw, run_fleet, load):
     raw["fleet"]["load"] = load
 
-    async def story(fleet):
+    async def steps(fleet):
         one = await fleet.client(0)
         await asyncio.gather(*(one.put(f"/heredia/{number}", b"x" * 9_000) for number in range(8)))
         for name in fleet.nodes:
@@ -104,7 +104,7 @@
             await fleet.sleep(0.5)
         return [node_states(fleet, name) for name in fleet.nodes]
 
-    return play(story)[1]
+    return run_fleet(steps)[1]
 
 
 def test_an_edge_requests_load_reports_of_slow_nodes_and_limits_them_accordingly(states_of_slow_nodes):
@@ -119,18 +119,18 @@
 
 
 def test_a_fault_scenario_with_load_reports_and_a_class_in_order_keeps_every_rule(tmp_path):
-    to = tmp_path / "new.json"
+    path = tmp_path / "new.json"
     words = [
         "move",
         str(Path(deployment.__file__).with_name("example.json")),
         "--to",
-        str(to),
+        str(path),
         "--meter-ms",
         "1000",
         "--in-order",
         "archivo-nuevo",
     ]
     assert CliRunner().invoke(main, words).exit_code == 0
-    played = CliRunner().invoke(main, ["demo", "--virtual", "--deployment", str(to)])
-    assert played.exit_code == 0, played.output
-    assert played.output.count("kept\n") == 8
+    result = CliRunner().invoke(main, ["demo", "--virtual", "--deployment", str(path)])
+    assert result.exit_code == 0, result.output
+    assert result.output.count("kept\n") == 8
--- a/tests/edge/test_processes.py
+++ b/tests/edge/test_processes.py
@@ -1,4 +1,4 @@
-"""The programs as processes on loopback."""
+"""The programs, run as processes on loopback."""
 
 import io
 import json
@@ -16,8 +16,8 @@
 COMMAND = [sys.executable, "-m", "rushmux"]
 
 
-class Plain(socket.socket):
-    """A socket with the one more thing that the stock client asks of what it speaks through."""
+class ClientSocket(socket.socket):
+    """A socket with the one further method that the stock client requires."""
 
     def get_name(self):
         return "plain"
@@ -25,20 +25,20 @@
 
 def stock_client(address):
     host, port = address.split(":")
-    plain = Plain()
-    plain.settimeout(20)
-    plain.connect((host, int(port)))
-    return SFTPClient(plain)
+    connection = ClientSocket()
+    connection.settimeout(20)
+    connection.connect((host, int(port)))
+    return SFTPClient(connection)
 
 
 @pytest.fixture
-def up(tmp_path):
-    """Starts fleets with one command; the process and the addresses of its edges."""
+def start_fleet(tmp_path):
+    """Starts a fleet with one command; returns the process and the addresses of its edges."""
     started = []
 
-    def start(*words):
+    def start(*args):
         process = subprocess.Popen(
-            [*COMMAND, "up", "--data", str(tmp_path / "fleet"), *words], stdout=subprocess.PIPE
+            [*COMMAND, "up", "--data", str(tmp_path / "fleet"), *args], stdout=subprocess.PIPE
         )
         started.append(process)
         return process, json.loads(process.stdout.readline())["edges"]
@@ -50,17 +50,17 @@
             process.wait(30)
 
 
-def of_group(process):
-    """Processes that this one started."""
+def child_processes(process):
+    """Returns the `ps` lines of a process's children."""
     found = subprocess.run(
         ["ps", "-o", "pid=,args=", "--ppid", str(process.pid)], capture_output=True, text=True
     )
     return [line for line in found.stdout.splitlines() if "rushmux" in line]
 
 
-def test_a_fleet_keeps_its_files_and_leaves_no_process(up):
+def test_a_fleet_keeps_its_files_and_leaves_no_processes(start_fleet):
     data = os.urandom(600_000)
-    process, edges = up("--edges", "2", "--nodes", "3")
+    process, edges = start_fleet("--edges", "2", "--nodes", "3")
     one, two = stock_client(edges[0]), stock_client(edges[1])
     one.putfo(io.BytesIO(data), "/limon/a.bin")
     got = io.BytesIO()
@@ -70,43 +70,43 @@
         log.write("more\n")
     one.posix_rename("/limon/log", "/limon/renamed")
     assert one.stat("/limon/renamed").st_size == 5
-    children = of_group(process)
+    children = child_processes(process)
     assert len(children) == 6
     edge = next(int(line.split()[0]) for line in children if " edge " in line)
-    os.kill(edge, signal.SIGKILL)  # the other edge serves the same files at once
-    left = [client for client, address in zip((one, two), edges, strict=True) if works(client)]
-    assert len(left) == 1 and left[0].listdir("/limon") == ["a.bin", "renamed"]
+    os.kill(edge, signal.SIGKILL)  # the other edge still serves the same files
+    connected = [client for client, address in zip((one, two), edges, strict=True) if is_connected(client)]
+    assert len(connected) == 1 and connected[0].listdir("/limon") == ["a.bin", "renamed"]
     process.send_signal(signal.SIGTERM)
     assert process.wait(30) == 0
     for line in children:
         with pytest.raises(ProcessLookupError):
             os.kill(int(line.split()[0]), 0)
-    _, edges = up("--edges", "1", "--nodes", "3")
+    _, edges = start_fleet("--edges", "1", "--nodes", "3")
     got = io.BytesIO()
     stock_client(edges[0]).getfo("/limon/a.bin", got)
     assert got.getvalue() == data
 
 
-def works(client):
+def is_connected(client):
     try:
         client.listdir("/limon")
         return True
-    except (OSError, EOFError, SSHException):  # the last: it broke in the middle of a request
+    except (OSError, EOFError, SSHException):  # SSHException: disconnected during a request
         return False
 
 
-def test_a_fleet_whose_starter_is_killed_ends_too(up):
-    process, _ = up("--edges", "1", "--nodes", "1")
-    children = [int(line.split()[0]) for line in of_group(process)]
+def test_a_fleet_ends_when_its_starter_is_killed(start_fleet):
+    process, _ = start_fleet("--edges", "1", "--nodes", "1")
+    children = [int(line.split()[0]) for line in child_processes(process)]
     process.kill()
     process.wait()
-    until = time.monotonic() + 20
-    while time.monotonic() < until and any(alive(pid) for pid in children):
+    deadline = time.monotonic() + 20
+    while time.monotonic() < deadline and any(is_alive(pid) for pid in children):
         time.sleep(0.1)
-    assert len(children) == 3 and not any(alive(pid) for pid in children)
+    assert len(children) == 3 and not any(is_alive(pid) for pid in children)
 
 
-def alive(pid):
+def is_alive(pid):
     try:
         with open(f"/proc/{pid}/stat") as stat:
             return stat.read().split()[2] != "Z"
@@ -114,30 +114,30 @@
         return False
 
 
-def test_connect_joins_a_client_to_an_edge(up):
+def test_connect_relays_a_client_to_an_edge(start_fleet):
     from rushmux.sftp import packets as sftp
 
-    _, edges = up("--edges", "1", "--nodes", "1")
-    asked = sftp.encode(sftp.Init(3, ())) + sftp.encode(sftp.RealPath(1, "/limon/.."))
-    joined = subprocess.Popen([*COMMAND, "connect", edges[0]], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
-    joined.stdin.write(asked)
-    joined.stdin.flush()
+    _, edges = start_fleet("--edges", "1", "--nodes", "1")
+    requests = sftp.encode(sftp.Init(3, ())) + sftp.encode(sftp.RealPath(1, "/limon/.."))
+    process = subprocess.Popen([*COMMAND, "connect", edges[0]], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+    process.stdin.write(requests)
+    process.stdin.flush()
     splitter, found = sftp.PacketSplitter(), []
     while len(found) < 2:
-        found += [sftp.decode(body) for body in splitter.feed(joined.stdout.read1(4_096))]
-    joined.stdin.close()
-    assert found[1].names[0].name == "/" and joined.wait(10) == 0
+        found += [sftp.decode(body) for body in splitter.feed(process.stdout.read1(4_096))]
+    process.stdin.close()
+    assert found[1].names[0].name == "/" and process.wait(10) == 0
 
 
 def test_a_short_bad_day_over_sockets_keeps_every_rule():
-    played = subprocess.run(
+    result = subprocess.run(
         [*COMMAND, "demo", "--day", "short", "--load", "0.4"], capture_output=True, text=True, timeout=120
     )
-    assert played.returncode == 0, played.stdout + played.stderr
-    assert played.stdout.count("   kept") == 8
+    assert result.returncode == 0, result.stdout + result.stderr
+    assert result.stdout.count("   kept") == 8
 
 
-def test_the_virtual_day_does_not_hang_on_the_order_of_hashes():
+def test_the_virtual_day_does_not_depend_on_the_hash_seed():
     reports = [
         subprocess.run(
             [*COMMAND, "demo", "--virtual", "--day", "short", "--load", "0.3"],
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize(
-    "words, said",
+    "args, message",
     [
         (["check", "none.json"], "cannot be read"),
         (["edge", "--lists", "nowhere"], "'nowhere' is no HOST:PORT"),
@@ -165,6 +165,6 @@
         ),
     ],
 )
-def test_bad_words_are_told_plainly(words, said):
-    done = subprocess.run([*COMMAND, *words], capture_output=True, text=True, timeout=30)
-    assert done.returncode not in (0, -11) and said in done.stderr and "Traceback" not in done.stderr
+def test_invalid_arguments_are_reported_without_a_traceback(args, message):
+    result = subprocess.run([*COMMAND, *args], capture_output=True, text=True, timeout=30)
+    assert result.returncode not in (0, -11) and message in result.stderr and "Traceback" not in result.stderr
--- a/tests/edge/test_request_ordering.py
+++ b/tests/edge/test_request_ordering.py
@@ -1,4 +1,4 @@
-"""Which requests of a session may run concurrently."""
+"""The conflicts that keep requests of a session from running concurrently."""
 
 import pytest
 
