--- a/rushmux/edge/directories.py
+++ b/rushmux/edge/directories.py
@@ -173,7 +173,7 @@
         )
 
     async def _truncate(self, runner: OperationRunner, found: ResolvedName) -> ResolvedName | None:
-        """Gives a file a new, empty data id; returns None if the file has changed."""
+        """Empties a file by giving it a new data id; returns None if the file has changed."""
         file_system = self.file_system
         now = file_system.wall_clock()
         file = found.file._replace(size=0, mtime=now, data_id=file_system.unique_name(), batch_stamp="")
--- a/rushmux/edge/driver.py
+++ b/rushmux/edge/driver.py
@@ -182,7 +182,7 @@
             future.set_exception(OperationFailedError())
 
     def answer_value(self, op_id: str, node: str, value: messages.Outcome) -> OperationResult:
-        """Returns the result of a succeeded operation."""
+        """Returns the result of a successful operation."""
         cell = self.endpoint_table.cell_of_node[node]
         other_cells = tuple(other for other in self.cells_tried.get(op_id, ()) if other != cell)
         return OperationResult(value, cell, other_cells)
--- a/rushmux/edge/endpoint_cache.py
+++ b/rushmux/edge/endpoint_cache.py
@@ -45,7 +45,7 @@
 
 
 class EndpointCache:
-    """Keeps the cache file up to date.
+    """Reads and updates the cache file.
 
     Attributes:
         path: The file; the constructor does not open it.
--- a/rushmux/edge/errors.py
+++ b/rushmux/edge/errors.py
@@ -25,7 +25,7 @@
 
     @property
     def status_text(self) -> str:
-        """The text of it on the wire."""
+        """The text in status messages."""
         return "shed"
 
 
@@ -37,7 +37,7 @@
 
     @property
     def status_text(self) -> str:
-        """The text of it on the wire."""
+        """The text in status messages."""
         return "Terminated"
 
 
--- a/rushmux/edge/file_requests.py
+++ b/rushmux/edge/file_requests.py
@@ -44,7 +44,7 @@
             await self.buffer.flush(buffered_file, runner)
 
     async def close(self, packet: sftp.Close, runner_for: RunnerFactory) -> sftp.Status:
-        """Closes a handle once the data written through it is readable through any edge."""
+        """Closes a handle; data written through it is then readable through any edge."""
         opened = self.handles.remove(packet.handle)
         if isinstance(opened, OpenFile):
             try:
--- a/rushmux/edge/file_system.py
+++ b/rushmux/edge/file_system.py
@@ -1,4 +1,4 @@
-"""Shared by all code that changes files: settings, unique names, the clock and garbage rows."""
+"""Settings, unique names, the clock and new rows, for all code that changes files."""
 
 from collections.abc import Callable, Sequence
 
--- a/rushmux/edge/policy_client.py
+++ b/rushmux/edge/policy_client.py
@@ -149,8 +149,8 @@
         self.edge.on_policy_state(state)
 
     def _scale_limits(self, limits: Limits) -> None:
-        # The scheduler's limits are fixed, so new ones are applied as a factor: the smaller of the ratios of
-        # limit and burst.
+        # The scheduler's limits are fixed when it is built, so new ones are applied as a factor: the smaller
+        # of the ratios of limit and burst.
         scales = {}
         for folder, built in self.built_limits.items():
             if folder in limits and all(built):
--- a/rushmux/edge/request_context.py
+++ b/rushmux/edge/request_context.py
@@ -1,4 +1,4 @@
-"""Shared by the handlers of one session's requests: path resolution and file attributes."""
+"""Path resolution and file attributes, for the handlers of one session's requests."""
 
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, Any, NamedTuple
