--- a/rushmux/backoff.py
+++ b/rushmux/backoff.py
@@ -12,16 +12,16 @@
 
     Attributes:
         initial: Seconds before any doubling.
-        longest: Seconds that no pause exceeds; reached after MAX_DOUBLINGS at the latest.
+        max_pause: Upper bound in seconds; must be reached within MAX_DOUBLINGS doublings.
     """
 
     initial: float
-    longest: float
+    max_pause: float
 
     def pause(self, doublings: int) -> float:
         """Seconds to wait after so many doublings; any number of them is allowed."""
-        return min(self.longest, self.initial * 2 ** min(doublings, MAX_DOUBLINGS))
+        return min(self.max_pause, self.initial * 2 ** min(doublings, MAX_DOUBLINGS))
 
-    def drawn_pause(self, doublings: int, rng: random.Random) -> float:
+    def jittered_pause(self, doublings: int, rng: random.Random) -> float:
         """As `pause`, its second half drawn, so that many who failed together do not return together."""
         return self.pause(doublings) * (0.5 + rng.random() / 2)
--- a/rushmux/buffer/disk.py
+++ b/rushmux/buffer/disk.py
@@ -91,13 +91,13 @@
     Attributes:
         files: The bytes of each file by its name.
         append_errno: Number of the OSError that appends end with; None where they succeed.
-        takes_half: Whether a failing append still writes half of its bytes, as a full disk does.
+        partial_append: Whether a failing append still writes half of its bytes, as a full disk does.
     """
 
     def __init__(self):
         self.files: dict[str, bytearray] = {}
         self.append_errno: int | None = None
-        self.takes_half = False
+        self.partial_append = False
 
     def names(self) -> list[str]:
         """The segments in the order they were made."""
@@ -110,7 +110,7 @@
     def append(self, name: str, data: bytes) -> None:
         """Adds bytes at the end of a segment; OSError where the disk is made to fail."""
         if self.append_errno is not None:
-            if self.takes_half:
+            if self.partial_append:
                 self.files.setdefault(name, bytearray()).extend(data[: len(data) // 2])
             raise OSError(self.append_errno, os.strerror(self.append_errno))
         self.files.setdefault(name, bytearray()).extend(data)
--- a/rushmux/edge/node_connections.py
+++ b/rushmux/edge/node_connections.py
@@ -57,7 +57,7 @@
 
 def next_backoff(failures: int, rng: random.Random) -> float:
     """Seconds to wait after a number of failures in a row: doubled with each, half of it drawn."""
-    return RECONNECT_BACKOFF.drawn_pause(failures, rng)
+    return RECONNECT_BACKOFF.jittered_pause(failures, rng)
 
 
 class NodeConnection:
--- a/rushmux/lab/system_simulation.py
+++ b/rushmux/lab/system_simulation.py
@@ -164,7 +164,7 @@
             self._partition(event)
         elif event.kind is FaultKind.GATEWAY_PAUSE:
             for number in event.targets:
-                self.fleet.edges[number].process.hold(event.duration)
+                self.fleet.edges[number].process.pause(event.duration)
         elif event.kind in STANDIN_FAULTS:
             await self._inject_at_nodes(event)
         elif event.kind is FaultKind.DISCOVERY_LAG:
@@ -184,7 +184,7 @@
             process = self.fleet.edges[target].process if is_gateway else self._node(target).process
             new_island = 1 + len(islands) + int(event.at * ISLANDS_PER_SECOND)
             island = islands.setdefault(target if is_gateway else -1, new_island)
-            process.cut(island, event.duration)
+            process.partition(island, event.duration)
 
     async def _inject_at_nodes(self, event: FaultEvent) -> None:
         kind = STANDIN_KINDS.get(event.kind, str(event.kind))
--- a/rushmux/simulation/loop.py
+++ b/rushmux/simulation/loop.py
@@ -108,13 +108,13 @@
     def _run_if_alive(self, process: Process, callback, args, context, handles) -> None:
         if process.dead or (handles and handles[0].cancelled()):
             return
-        if process.held_until <= self.clock:
+        if process.paused_until <= self.clock:
             callback(*args)
             return
         # Timers of one instant have no order among them; what waits in a socket keeps its own.
-        process.woken = max(process.woken + SPACING, process.held_until)
+        process.next_resume_at = max(process.next_resume_at + SPACING, process.paused_until)
         values = process, callback, args, context, handles
-        super().call_at(process.woken, self._run_if_alive, *values, context=context)
+        super().call_at(process.next_resume_at, self._run_if_alive, *values, context=context)
 
     def call_soon(self, callback, *args, context=None) -> asyncio.Handle:
         """As asyncio's, for the process of the context."""
--- a/rushmux/simulation/process.py
+++ b/rushmux/simulation/process.py
@@ -22,12 +22,12 @@
     def __init__(self, loop: SimulatedLoop, name: str):
         self.loop, self.name = loop, name
         self.dead = False
-        self.held_until = 0.0
-        self.woken = 0.0  # when the next of what waits for it to go on happens
+        self.paused_until = 0.0
+        self.next_resume_at = 0.0  # when the next of what waits for it to go on happens
         self.transports: dict = {}
         self.servers: dict = {}
-        self.island = 0
-        self.cut_until = 0.0
+        self.partition_group = 0
+        self.partition_ends_at = 0.0
         self.context = contextvars.copy_context()
         self.context.run(CURRENT_PROCESS.set, self)
 
@@ -43,20 +43,26 @@
         for transport in list(self.transports):
             transport.reset_by_kernel()
 
-    def hold(self, seconds: float) -> None:
+    def pause(self, seconds: float) -> None:
         """Pauses it, as with SIGSTOP: what happens to it meanwhile waits."""
-        self.held_until = max(self.held_until, self.loop.time() + seconds)
+        self.paused_until = max(self.paused_until, self.loop.time() + seconds)
 
-    def cut(self, island: int, seconds: float) -> None:
-        """Partitions it, with all others of its island, from the rest.
+    def partition(self, partition_group: int, seconds: float) -> None:
+        """Partitions it, with all processes of the same group, from the rest.
 
-        What is sent between islands meanwhile arrives when the partition ends.
+        Data sent between groups meanwhile arrives when the partition ends.
         """
-        self.island, self.cut_until = island, max(self.cut_until, self.loop.time() + seconds)
+        self.partition_group, self.partition_ends_at = (
+            partition_group,
+            max(self.partition_ends_at, self.loop.time() + seconds),
+        )
 
 
 def partitioned_until(one: Process | None, other: Process | None, now: float) -> float:
     """When messages between two processes go again; nought: they do."""
-    ends = [process.cut_until if process and process.cut_until > now else 0.0 for process in (one, other)]
-    islands = [process.island if end else 0 for process, end in zip((one, other), ends, strict=True)]
-    return max(ends) if islands[0] != islands[1] else 0.0
+    ends = [
+        process.partition_ends_at if process and process.partition_ends_at > now else 0.0
+        for process in (one, other)
+    ]
+    groups = [process.partition_group if end else 0 for process, end in zip((one, other), ends, strict=True)]
+    return max(ends) if groups[0] != groups[1] else 0.0
--- a/rushmux/standins/policy_fleet.py
+++ b/rushmux/standins/policy_fleet.py
@@ -179,7 +179,7 @@
 
     async def hold_a_planner(self):
         """Pauses a planner's process."""
-        self.planners[self.draw.choice(sorted(self.planners))].process.hold(0.5 * 40 ** self.draw.random())
+        self.planners[self.draw.choice(sorted(self.planners))].process.pause(0.5 * 40 ** self.draw.random())
 
     async def kill_an_edge(self):
         """Kills an edge and starts it again after a while."""
@@ -193,7 +193,7 @@
         """Pauses an edge's process."""
         part = self.edges[self.draw.choice(sorted(self.edges))]
         self.stopped[part.program.name] = True
-        part.process.hold(0.5 * 40 ** self.draw.random())
+        part.process.pause(0.5 * 40 ** self.draw.random())
 
     async def cut_some(self):
         """Cuts a few parts off, together on an island of their own."""
@@ -201,7 +201,7 @@
         seconds = 0.5 * 40 ** self.draw.random()
         for part in [*self.planners.values(), *self.edges.values()]:
             if self.draw.random() < CUT_CHANCE:
-                part.process.cut(self.island, seconds)
+                part.process.partition(self.island, seconds)
                 # Its clients are on the other side: what it answers them is late, and nobody's fault.
                 self.stopped[getattr(part.program, "name", "")] = True
 
--- a/rushmux/standins/write_history.py
+++ b/rushmux/standins/write_history.py
@@ -220,7 +220,7 @@
     async def _refuse_records(self) -> None:
         self.history.records_refused = True
         disk = self._fleet.log_disks[EDGE]
-        disk.append_errno, disk.takes_half = errno.ENOSPC, self._rng.random() < 1 / 2
+        disk.append_errno, disk.partial_append = errno.ENOSPC, self._rng.random() < 1 / 2
 
     async def _crash(self) -> None:
         self._fleet.kill_edge(EDGE)
--- a/tests/buffer/test_discarded_writes.py
+++ b/tests/buffer/test_discarded_writes.py
@@ -241,10 +241,10 @@
     ]
 
 
-@pytest.mark.parametrize("takes_half", [False, True])
+@pytest.mark.parametrize("partial_append", [False, True])
 @pytest.mark.parametrize("crash", [False, True])
 def test_what_the_disk_does_not_record_as_discarded_is_not_discarded(
-    play, discards, files, crash, takes_half
+    play, discards, files, crash, partial_append
 ):
     """A client told of a loss that a crash undoes would be told wrong: the writes are kept and retried."""
 
@@ -254,7 +254,7 @@
         await one.ask(sftp.Write, handle, 0, b"kept")
         await silence_nodes(fleet)
         disk = fleet.log_disks[0]
-        disk.append_errno, disk.takes_half = errno.ENOSPC, takes_half
+        disk.append_errno, disk.partial_append = errno.ENOSPC, partial_append
         await fleet.sleep(FAULT_TIME / 2)
         was_told = await told(one, files, handle)
         if crash:
--- a/tests/buffer/test_log_faults.py
+++ b/tests/buffer/test_log_faults.py
@@ -25,7 +25,7 @@
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"logged")
         disk = fleet.log_disks[0]
-        disk.append_errno, disk.takes_half = fault, half
+        disk.append_errno, disk.partial_append = fault, half
         await one.ask(sftp.Write, handle, 6, b"-not")
         await one.ask(sftp.Write, handle, 10, b"-through")
         assert buffered_bytes(fleet) == 0  # at the latest the next write bypasses the buffer
--- a/tests/buffer/test_node_faults.py
+++ b/tests/buffer/test_node_faults.py
@@ -92,7 +92,7 @@
         await one.ask(sftp.Write, handle, 0, b"paused" * 10_000)
         flushing = asyncio.ensure_future(files.fsync(one, handle))
         await fleet.sleep(0.004)
-        fleet.edges[0].process.hold(3)
+        fleet.edges[0].process.pause(3)
         begun = fleet.loop.time()
         await flushing
         return fleet.loop.time() - begun, await far.get("/heredia/a")
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("failures", [1_023, 1_024, DAYS_OF_FAILURES])
 def test_a_pause_is_bounded_after_any_number_of_failures(failures):
     assert Backoff(0.05, 2.0).pause(failures) == 2.0
-    assert 1.0 <= Backoff(0.05, 2.0).drawn_pause(failures, random.Random(1)) <= 2.0
+    assert 1.0 <= Backoff(0.05, 2.0).jittered_pause(failures, random.Random(1)) <= 2.0
 
 
 def test_the_first_pauses_of_a_seed_are_those_of_earlier_versions():
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -58,7 +58,7 @@
     pauses = [row["retry_in"] for row in rows]
     assert {(row["event"], row["task"]) for row in rows} == {("task.failed", "part")}
     assert "TestError: no" in rows[0]["exception"]
-    assert pauses[:3] == [0.2, 0.4, 0.8] and pauses[-1] == RESTART_BACKOFF.longest and len(pauses) == 12
+    assert pauses[:3] == [0.2, 0.4, 0.8] and pauses[-1] == RESTART_BACKOFF.max_pause and len(pauses) == 12
     assert done == [pytest.approx(sum(pauses))]
 
 
