--- a/rushmux/__main__.py
+++ b/rushmux/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rushmux`: the command line."""
+"""The command line as `python -m rushmux`."""
 
 from rushmux.cli.main import main
 
--- a/rushmux/atomic_write.py
+++ b/rushmux/atomic_write.py
@@ -1,24 +1,28 @@
-"""Replaces a file atomically: a kill at any moment leaves the old one or the new one."""
+"""Replaces a file atomically: a crash at any moment leaves either the old or the new contents."""
 
 import os
 from pathlib import Path
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Replaces the file at `path`; OSError where that fails, and then the old one stands."""
-    fresh = path.with_name(path.name + ".new")
+    """Replaces the file at `path`.
+
+    Raises:
+        OSError: The file was not replaced; where only the sync of its folder failed, it was.
+    """
+    temporary = path.with_name(path.name + ".new")
     try:
-        with fresh.open("wb") as sink:
-            sink.write(data)
-            sink.flush()
-            os.fsync(sink.fileno())
-        fresh.replace(path)
-        # Without the folder's own sync a power loss may bring the old file back.
+        with temporary.open("wb") as file:
+            file.write(data)
+            file.flush()
+            os.fsync(file.fileno())
+        temporary.replace(path)
+        # Unless the folder is synced too, a power loss may bring the old file back.
         folder = os.open(path.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
     except OSError:
-        fresh.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
--- a/rushmux/records.py
+++ b/rushmux/records.py
@@ -1,7 +1,7 @@
-"""Checksummed records in a file, with a torn tail told from a damaged middle; no I/O.
+"""A file format of checksummed records that tells a torn tail from corruption; no I/O.
 
-A file begins with eight bytes: a magic word of four, the format as a number of two bytes, and two of nought.
-A record is the length and the CRC-32 of its body, four bytes each, and the body.
+A file begins with eight bytes: a magic word of four, the format version in two, and two zero bytes.
+A record is the length and the CRC-32 of its body, four bytes each, and the body.  Numbers are big-endian.
 """
 
 import struct
@@ -13,67 +13,70 @@
 
 
 class RecordFileError(Exception):
-    """A file that is none of this kind, or of another format."""
+    """The file is not of the expected kind or format version."""
 
 
 class RecordFile(NamedTuple):
-    """What a file holds."""
+    """The contents of a file."""
 
     bodies: list[bytes]
-    """Up to the first record that is incomplete."""
+    """The records before the first incomplete or damaged one."""
     end: int
-    """Where that one begins."""
+    """Offset at which those records end."""
     damaged: bool
-    """Complete records follow it: the file is damaged, its tail not only torn."""
+    """Whether complete records follow: the file is damaged, not just torn at its end."""
 
 
-def file_header(magic: bytes, form: int) -> bytes:
-    """The first bytes of a file of this kind and format."""
-    return magic + form.to_bytes(FORMAT_SIZE, "big") + b"\0\0"
+def file_header(magic: bytes, format_version: int) -> bytes:
+    """The first bytes of a file of this kind and format version."""
+    return magic + format_version.to_bytes(FORMAT_SIZE, "big") + b"\0\0"
 
 
 def pack_record(body: bytes) -> bytes:
-    """The bytes of one record."""
+    """Encodes one record."""
     return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
-def read_record(text, at: int, max_size: int) -> tuple[bytes, int] | None:
-    """The body at a place and where the next record begins, or None."""
-    if len(text) - at < RECORD_HEADER.size:
+def read_record(data, offset: int, max_size: int) -> tuple[bytes, int] | None:
+    """The body of the record at `offset`, and where the next begins; None where none is valid."""
+    if len(data) - offset < RECORD_HEADER.size:
         return None
-    length, checksum = RECORD_HEADER.unpack_from(text, at)
-    at += RECORD_HEADER.size
-    if not 0 < length <= max_size or len(text) - at < length:
+    length, checksum = RECORD_HEADER.unpack_from(data, offset)
+    offset += RECORD_HEADER.size
+    if not 0 < length <= max_size or len(data) - offset < length:
         return None
-    body = bytes(text[at : at + length])
-    return (body, at + length) if zlib.crc32(body) == checksum else None
+    body = bytes(data[offset : offset + length])
+    return (body, offset + length) if zlib.crc32(body) == checksum else None
 
 
-def read_file(text: bytes, magic: bytes, form: int, max_size: int) -> RecordFile:
-    """Reads a file; RecordFileError where it does not begin as one of this kind and format.
+def read_file(data: bytes, magic: bytes, format_version: int, max_size: int) -> RecordFile:
+    """Decodes a file.
 
     Args:
-        text: The file's bytes.
-        magic: The word that it begins with.
-        form: The format that is read.
-        max_size: Bytes of the largest body.
+        data: The file's bytes.
+        magic: The magic word that it begins with.
+        format_version: The format version that can be read.
+        max_size: Largest body in bytes.
+
+    Raises:
+        RecordFileError: The file is not of this kind or format version.
     """
-    header = file_header(magic, form)
-    if len(text) < len(header) and header.startswith(text):
-        return RecordFile([], 0, False)  # killed while it was made
-    if text[:MAGIC_SIZE] != magic:
-        raise RecordFileError(f"begins with {text[:8]!r}, where {header!r} was to be")
-    if text[: len(header)] != header:
-        found_form = int.from_bytes(text[MAGIC_SIZE : MAGIC_SIZE + FORMAT_SIZE], "big")
-        raise RecordFileError(f"format {found_form}, this program reads {form}")
-    view, at, bodies = memoryview(text), len(header), []
-    while at < len(text):
-        found = read_record(view, at, max_size)
+    header = file_header(magic, format_version)
+    if len(data) < len(header) and header.startswith(data):
+        return RecordFile([], 0, False)  # the program was killed while creating it
+    if data[:MAGIC_SIZE] != magic:
+        raise RecordFileError(f"file begins with {data[:8]!r} instead of {header!r}")
+    if data[: len(header)] != header:
+        found_version = int.from_bytes(data[MAGIC_SIZE : MAGIC_SIZE + FORMAT_SIZE], "big")
+        raise RecordFileError(f"format {found_version}, this program reads {format_version}")
+    view, offset, bodies = memoryview(data), len(header), []
+    while offset < len(data):
+        found = read_record(view, offset, max_size)
         if found is None:
-            # A damaged middle taken for a torn tail would lose what comes after it without a word.
-            places = range(at + 1, len(text) - RECORD_HEADER.size)
-            damaged = any(read_record(view, place, max_size) for place in places)
-            return RecordFile(bodies, at, damaged)
-        body, at = found
+            # Corruption mistaken for a torn tail would silently lose the records after it.
+            later_offsets = range(offset + 1, len(data) - RECORD_HEADER.size)
+            damaged = any(read_record(view, later, max_size) for later in later_offsets)
+            return RecordFile(bodies, offset, damaged)
+        body, offset = found
         bodies.append(body)
-    return RecordFile(bodies, at, False)
+    return RecordFile(bodies, offset, False)
--- a/rushmux/worker_pool.py
+++ b/rushmux/worker_pool.py
@@ -1,4 +1,4 @@
-"""Pools of worker processes that end with the program that started them."""
+"""Pools of worker processes that exit when the program that started them is gone."""
 
 import os
 import threading
@@ -6,21 +6,21 @@
 from concurrent.futures import ProcessPoolExecutor
 
 PARENT_CHECK_INTERVAL = 0.5
-"""Seconds between two looks at who the parent is."""
+"""Seconds between two checks of the parent process."""
 EXIT_ORPHANED = 1
 
 
 def worker_pool(jobs: int) -> ProcessPoolExecutor:
-    """A pool of so many processes.
+    """A pool of `jobs` processes.
 
-    A worker whose parent was killed ends within PARENT_CHECK_INTERVAL.  It would wait for work for ever
-    otherwise: the pipe that it reads is held open by the other workers.
+    A worker whose parent was killed exits within PARENT_CHECK_INTERVAL.  It would otherwise wait for work
+    forever, because the other workers hold its pipe open.
     """
-    return ProcessPoolExecutor(jobs, initializer=_end_with, initargs=(os.getpid(),))
+    return ProcessPoolExecutor(jobs, initializer=_exit_without_parent, initargs=(os.getpid(),))
 
 
-def _end_with(parent: int) -> None:
-    """Has this process end once `parent` is not its parent any more."""
+def _exit_without_parent(parent: int) -> None:
+    """Makes this process exit once `parent` is no longer its parent."""
 
     def watch() -> None:
         while os.getppid() == parent:
