--- a/rushmux/simulation/__init__.py
+++ b/rushmux/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""An event loop on a simulated clock, with a network and processes of its own."""
+"""An event loop with a simulated clock, network and processes."""
--- a/rushmux/simulation/network.py
+++ b/rushmux/simulation/network.py
@@ -1,4 +1,4 @@
-"""Servers and connections of the simulated network, as asyncio's transports behave."""
+"""Simulated servers and connections, which behave like asyncio's."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 if TYPE_CHECKING:
     from rushmux.simulation.loop import SimulatedLoop
 
-SOCKET_BYTES = 262_144  # that a connection holds on its way before the writer sees a buffer
-HIGH_WATER, LOW_WATER = 65_536, 16_384  # bytes in the writer's buffer at which it is paused and goes on
-SPACING = 1e-8  # seconds between two pieces on one connection
+SOCKET_BYTES = 262_144  # in flight on a connection before the writer has to buffer
+HIGH_WATER, LOW_WATER = 65_536, 16_384  # bytes in the writer's buffer at which it is paused and resumed
+ORDERING_GAP = 1e-8  # seconds between two events that must run in order
 
 
 class SimulatedSocket:
-    """What a server tells of its socket."""
+    """The socket of a simulated server."""
 
     def __init__(self, address: tuple[str, int]):
         self.address = address
 
     def getsockname(self) -> tuple[str, int]:
-        """Host and port."""
+        """Returns the host and port."""
         return self.address
 
 
 class SimulatedServer:
-    """What `create_server` gives: a port that is open until it is closed."""
+    """A listening port, as `create_server` returns it."""
 
     def __init__(self, loop: SimulatedLoop, address: tuple[str, int], factory: Callable):
         self.loop, self.address, self.factory = loop, address, factory
@@ -41,24 +41,24 @@
             self.process.servers[self] = True
 
     def close(self) -> None:
-        """Closes the port; connections stay."""
+        """Closes the port; accepted connections stay open."""
         self.loop.servers.pop(self.address, None)
         if self.process:
             self.process.servers.pop(self, None)
 
     async def wait_closed(self) -> None:
-        """Nothing is left to wait for."""
+        """Returns at once: `close` takes effect immediately."""
 
     def get_loop(self) -> SimulatedLoop:
-        """The loop."""
+        """Returns the loop."""
         return self.loop
 
 
 class SimulatedTransport(asyncio.Transport):
     """One end of a connection."""
 
-    def __init__(self, loop: SimulatedLoop, protocol, own: tuple[str, int], other: tuple[str, int]):
-        super().__init__({"sockname": own, "peername": other})
+    def __init__(self, loop: SimulatedLoop, protocol, local: tuple[str, int], remote: tuple[str, int]):
+        super().__init__({"sockname": local, "peername": remote})
         self.loop, self.protocol = loop, protocol
         self.peer: SimulatedTransport | None = None
         self.context, self.process = contextvars.copy_context(), CURRENT_PROCESS.get()
@@ -72,7 +72,7 @@
             self.process.transports[self] = True
 
     def get_protocol(self):
-        """The protocol that is told of this end."""
+        """Returns the protocol of this end."""
         return self.protocol
 
     def set_protocol(self, protocol) -> None:
@@ -80,39 +80,39 @@
         self.protocol = protocol
 
     def is_closing(self) -> bool:
-        """Whether it is closing or closed."""
+        """Whether this end is closing or closed."""
         return self.closing
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that wait on this side of the connection."""
+        """Bytes that wait to be sent."""
         return max(0, self.unread - SOCKET_BYTES)
 
     def set_write_buffer_limits(self, high=None, low=None) -> None:
-        """The limits are fixed here."""
+        """Does nothing: the limits are fixed."""
 
     def _send(self, call: Callable, *values) -> None:
-        # Timers of one instant have no order among them; what is sent in order must arrive so.
+        # Timers with equal times run in no particular order; data must arrive in the order it was sent.
         now = self.loop.time()
         begins = max(now, partitioned_until(self.process, self.peer.process, now))
-        self.last_arrival = max(self.last_arrival + SPACING, begins + self.loop.network_delay())
+        self.last_arrival = max(self.last_arrival + ORDERING_GAP, begins + self.loop.network_delay())
         self.loop.call_at(self.last_arrival, call, *values, context=self.peer.context)
 
     def write(self, data) -> None:
-        """Puts bytes on their way to the other end, in order."""
+        """Sends bytes to the other end, in order."""
         if self.closing or self.lost or not data:
             return
         self.unread += len(data)
         if self.get_write_buffer_size() > HIGH_WATER and not self.writing_paused:
             self.writing_paused = True
             self.protocol.pause_writing()
-        self._send(self.peer.arrive, bytes(data))
+        self._send(self.peer.receive, bytes(data))
 
-    def arrive(self, data: bytes | None) -> None:
-        """Bytes, or the end of the stream, reach this end."""
+    def receive(self, data: bytes | None) -> None:
+        """Takes bytes, or None for the end of the stream, from the other end."""
         self.arrived.append(data)
-        self._hand_over()
+        self._deliver()
 
-    def _hand_over(self) -> None:
+    def _deliver(self) -> None:
         while self.arrived and not self.reading_paused and not self.lost:
             data = self.arrived.popleft()
             if data is None:
@@ -124,7 +124,7 @@
                 self.protocol.data_received(data)
 
     def acknowledge(self, size: int) -> None:
-        """The other end read bytes of this one."""
+        """Notes that the other end has read bytes that this end sent."""
         self.unread -= size
         if self.writing_paused and self.get_write_buffer_size() <= LOW_WATER:
             self.writing_paused = False
@@ -132,49 +132,49 @@
                 self.loop.call_soon(self.protocol.resume_writing, context=self.context)
 
     def pause_reading(self) -> None:
-        """Hands nothing over until `resume_reading`."""
+        """Stops delivery to the protocol until `resume_reading`."""
         self.reading_paused = True
 
     def resume_reading(self) -> None:
-        """Hands over what waited."""
+        """Resumes delivery to the protocol."""
         self.reading_paused = False
-        self.loop.call_soon(self._hand_over, context=self.context)
+        self.loop.call_soon(self._deliver, context=self.context)
 
     def is_reading(self) -> bool:
-        """Whether what arrives is handed over."""
+        """Whether arriving data is delivered to the protocol."""
         return not self.reading_paused
 
     def can_write_eof(self) -> bool:
-        """It can."""
+        """Returns True: half-closed connections are supported."""
         return True
 
     def write_eof(self) -> None:
-        """Ends the stream to the other end."""
+        """Ends the outgoing stream."""
         if not self.sent_eof:
             self.sent_eof = True
-            self._send(self.peer.arrive, None)
+            self._send(self.peer.receive, None)
 
     def close(self) -> None:
-        """Closes in order."""
+        """Closes once the data written so far is sent."""
         if not self.closing:
             self.closing = True
             self.write_eof()
             self.loop.call_soon(self.end, None, context=self.context)
 
     def abort(self) -> None:
-        """Closes with a reset."""
+        """Resets the connection."""
         if not self.lost:
             self.closing = True
             self._send(self.peer.end, ConnectionResetError("reset by peer"))
             self.loop.call_soon(self.end, None, context=self.context)
 
     def reset_by_kernel(self) -> None:
-        """The process is gone: the other end hears of it, this one never."""
+        """Resets the connection of a killed process: only the other end is notified."""
         self.closing = self.lost = True
         self._send(self.peer.end, ConnectionResetError("reset by peer"))
 
     def end(self, fault: Exception | None) -> None:
-        """The connection is over."""
+        """Ends the connection and notifies the protocol."""
         if self.lost:
             return
         self.closing = self.lost = True
