--- a/rushmux/buffer/batch_writer.py
+++ b/rushmux/buffer/batch_writer.py
@@ -1,7 +1,7 @@
-"""Carries a batch to the nodes: stores its bytes as new objects, then commits one change of rows.
+"""Writes a batch to the nodes: stores its bytes as new objects, then commits one change of rows.
 
-The change names all files of the batch, so that they become visible together, and is checked against the
-versions of their rows.
+The change covers all files of the batch, so that they become visible together, and checks the versions of
+their rows.
 """
 
 import asyncio
@@ -29,9 +29,9 @@
 from rushmux.files.layout import Extent
 from rushmux.nodewire import messages
 
-MAX_PARALLEL_STORES = 6  # objects of a batch in flight: below the bound of ten operations
-MAX_KEYS = 400  # rows read at once: far below the bytes of a frame
-OPERATION_KEY = "buffer"  # ordering key of a batch's operations on rows
+MAX_PARALLEL_STORES = 6  # objects of a batch; below the ten operations that a node may have in flight
+MAX_KEYS_PER_READ = 400  # keeps the reply far below the largest frame
+OPERATION_KEY = "buffer"  # ordering key of the row operations
 REQUESTED_ROLE = "write"
 BACKGROUND_ROLE = "write_out"
 REMOVED = "the file was removed"
@@ -40,7 +40,7 @@
 
 @dataclass
 class Counters:
-    """What a write-back buffer did since its start, for benchmarks."""
+    """Counters of a write-back buffer since its start, for benchmarks."""
 
     writes: int = 0
     bytes: int = 0
@@ -52,11 +52,11 @@
 
 @dataclass
 class CommitOutcome:
-    """The files of a batch that were not committed.
+    """The files of a batch that were left out of its commit.
 
     Attributes:
-        skipped: Why, for each of them.
-        overwritten: Those that other edges changed while this one was down.
+        skipped: These files and the reasons.
+        overwritten: Those that other edges changed while this edge was down.
     """
 
     skipped: dict[BufferedFile, str] = field(default_factory=dict)
@@ -64,7 +64,7 @@
 
 
 class Run(NamedTuple):
-    """Adjacent bytes of a file within one block, which become one object."""
+    """Adjacent bytes within a block of a file, which are stored as one object."""
 
     file: BufferedFile
     block: int
@@ -73,22 +73,22 @@
 
 
 class BatchChange(RowChange):
-    """A change of rows, and what it makes of its files."""
+    """A change of rows, and the contents of the changed files' rows."""
 
     def __init__(self):
         super().__init__()
-        self.obsolete: list[tuple[int, str]] = []  # objects that no row names any more: (cell, object)
+        self.obsolete: list[tuple[int, str]] = []  # objects no longer referenced by rows: (cell, object)
         self.files: dict[BufferedFile, layout.FileRow] = {}
         self.blocks: dict[BufferedFile, dict[int, list[Extent]]] = {}
 
     def put_file(self, file: BufferedFile, version: int, row: layout.FileRow) -> None:
-        """Replaces the row of a file, if it has this version."""
+        """Replaces the row of a file if it has this version."""
         self.files[file] = row
         self.blocks[file] = {}
         self._put(layout.file_key(file.file_id), version, layout.pack_file(row))
 
     def put_block(self, file: BufferedFile, number: int, before: BlockRow, extents: list[Extent]) -> None:
-        """Replaces the row of a block; its file has to be put first."""
+        """Replaces the row of a block; `put_file` must come first."""
         self.blocks[file][number] = extents
         key = layout.block_key(self.files[file].data_id, number)
         self._put(key, before.version, layout.pack_block(extents))
@@ -99,7 +99,7 @@
         self.puts.append((key, value))
 
     def committed_files(self, done: Sequence[messages.Row]) -> dict[BufferedFile, FileRows]:
-        """The files' rows with their new versions, which the nodes give in the order of `puts`."""
+        """The files' rows with their new versions; `done` has the order of `puts`."""
         versions = {key: row.version for (key, _), row in zip(self.puts, done, strict=False)}
         committed = {}
         for file, row in self.files.items():
@@ -112,14 +112,14 @@
 
 
 class BatchWriter:
-    """Writes the batches of one edge.
+    """Writes the batches of an edge.
 
     Args:
         driver: The edge's driver.
-        file_system: What the edge's requests share.
-        row_cache: The rows as last seen.
-        wal: The log, where each change is noted before it is sent.
-        counters: What was done so far.
+        file_system: State that the edge's requests share.
+        row_cache: The last known rows.
+        wal: The log, to which each change is written before it is sent.
+        counters: The counters to update.
     """
 
     def __init__(
@@ -140,13 +140,13 @@
         """Makes a batch readable through any edge.
 
         Raises:
-            ContentionError: Other edges changed the files at the same time, too often.
-            OperationShedError, OperationFailedError, ObjectMissingError: An operation did not succeed.
+            ContentionError: Other edges changed the files at each attempt.
+            OperationShedError, OperationFailedError, ObjectMissingError: An operation failed.
         """
         return await self._commit(runner, batch, await self._store(runner, batch))
 
     async def _store(self, runner: OperationRunner, batch: Batch) -> dict[BufferedFile, list[BlockExtent]]:
-        """Stores a batch's bytes, each run as one object."""
+        """Stores each run of a batch as one object."""
         gate = asyncio.Semaphore(MAX_PARALLEL_STORES)
         role = REQUESTED_ROLE if batch.is_requested else BACKGROUND_ROLE
         runs = self._runs(batch)
@@ -177,7 +177,7 @@
     async def _commit(
         self, runner: OperationRunner, batch: Batch, extents: dict[BufferedFile, list[BlockExtent]]
     ) -> CommitOutcome:
-        """Changes the rows of all files of the batch; reads them again where others changed them."""
+        """Changes the rows of the batch's files; retries with fresh rows if others changed them."""
         for attempt in range(MAX_CONFLICTS):
             await runner.back_off(attempt)
             outcome = CommitOutcome()
@@ -189,7 +189,7 @@
             stamp = self.driver.unique_name()
             try:
                 blocks = await self._new_blocks(runner, files, extents)
-            except ObjectMissingError:  # others replaced an object meanwhile: read the rows again
+            except ObjectMissingError:  # another edge replaced an object: read the rows again
                 continue
             change = self._row_change(batch, files, blocks, stamp)
             self._log_intent(batch, files, stamp)
@@ -214,8 +214,8 @@
     async def _read_rows(
         self, runner: OperationRunner, extents: dict[BufferedFile, list[BlockExtent]], outcome: CommitOutcome
     ) -> dict[BufferedFile, FileRows]:
-        """Reads the rows to change; files that are removed or overwritten are noted in the outcome."""
-        rows = await self._look(runner, [layout.file_key(file.file_id) for file in extents])
+        """Reads the rows to change; removed and overwritten files are added to the outcome."""
+        rows = await self._read_keys(runner, [layout.file_key(file.file_id) for file in extents])
         files, blocks = {}, {}
         for file, written in extents.items():
             row = rows.get(layout.file_key(file.file_id))
@@ -230,7 +230,7 @@
             files[file] = FileRows(row.version, file_row, {})
             for number, _ in written:
                 blocks[layout.block_key(file_row.data_id, number)] = file, number
-        rows = await self._look(runner, list(blocks))
+        rows = await self._read_keys(runner, list(blocks))
         for key, (file, number) in blocks.items():
             row = rows.get(key)
             files[file].blocks[number] = (
@@ -238,19 +238,18 @@
             )
         return files
 
-    async def _look(self, runner: OperationRunner, keys: list[str]) -> dict[str, messages.Row]:
+    async def _read_keys(self, runner: OperationRunner, keys: list[str]) -> dict[str, messages.Row]:
         found = {}
-        for first in range(0, len(keys), MAX_KEYS):
-            outcome = await runner.read_rows(OPERATION_KEY, keys=keys[first : first + MAX_KEYS])
+        for first in range(0, len(keys), MAX_KEYS_PER_READ):
+            outcome = await runner.read_rows(OPERATION_KEY, keys=keys[first : first + MAX_KEYS_PER_READ])
             found.update((row.key, row) for row in outcome.rows)
         return found
 
     @staticmethod
     def is_overwritten(file: BufferedFile, version: int, file_row: layout.FileRow) -> bool:
-        """Whether other edges changed a file since this one was killed with writes of it buffered.
+        """Whether other edges changed a file with recovered writes, which must not undo theirs.
 
-        Recovered writes must not undo what others wrote meanwhile.  A row with a stamp of one of this edge's
-        changes was written by the edge itself, which never heard the answer.
+        A row with the stamp of one of this edge's changes is the edge's own, though the reply was lost.
         """
         is_own_change = file_row.batch_stamp in file.stamps
         return file.recovered and file.version != version and not is_own_change
@@ -261,7 +260,7 @@
         files: dict[BufferedFile, FileRows],
         extents: dict[BufferedFile, list[BlockExtent]],
     ) -> dict[tuple[BufferedFile, int], list[Extent]]:
-        """The extents of each block with the batch's over them; one with too many is written as one."""
+        """Overlays the batch's extents on those of each block; a block with too many is compacted."""
         found = {}
         for file, rows in files.items():
             for number, block in rows.blocks.items():
@@ -297,7 +296,7 @@
         return change
 
     def _log_intent(self, batch: Batch, files: dict[BufferedFile, FileRows], stamp: str) -> None:
-        """Notes a change before it is sent: after a crash the next run has to know it as its own."""
+        """Logs a change before it is sent, so that the edge knows it as its own after a crash."""
         for part in batch.parts:
             part.file.stamps.append(stamp)
         file_ids = [part.file.file_id for part in batch.parts if part.file in files]
--- a/rushmux/buffer/buffered_writes.py
+++ b/rushmux/buffer/buffered_writes.py
@@ -1,6 +1,6 @@
-"""The index of buffered writes: what an edge has answered and not yet flushed, by folder and file.
+"""The index of buffered writes, which an edge has answered but not yet flushed, by folder and file.
 
-There is no I/O and no clock; times are seconds of the caller's clock.
+There is no I/O and no clock; times are seconds on the caller's clock.
 """
 
 from collections.abc import Callable, Iterator
@@ -14,11 +14,11 @@
     """All writes that an edge has buffered.
 
     Args:
-        background_rate: Gives the units a second of background flushes that a folder, by its name, may use.
+        background_rate: Maps a folder's name to its background flush rate in units per second.
 
     Attributes:
-        byte_count: Bytes buffered.
-        last_sequence: Number of the newest write that was taken.
+        byte_count: Buffered bytes.
+        last_sequence: Sequence number of the newest write.
         nonempty_folders: The folders with buffered bytes, the only ones that the policy checks.
     """
 
@@ -30,14 +30,14 @@
         self.last_sequence = 0
 
     def folder(self, name: str) -> BufferedFolder:
-        """The folder's state, made where there is none."""
+        """The folder's state, created if missing."""
         found = self.folders.get(name)
         if found is None:
             found = self.folders[name] = BufferedFolder(name, FlushBudget(self.background_rate(name)))
         return found
 
     def file(self, folder: str, file_id: str, path: str = "") -> BufferedFile:
-        """The file's state, made where there is none."""
+        """The file's state, created if missing."""
         files = self.folder(folder).files
         found = files.get(file_id)
         if found is None:
@@ -47,7 +47,7 @@
         return found
 
     def find_file(self, folder: str, file_id: str) -> BufferedFile | None:
-        """The file's state where there is one."""
+        """The file's state, or None."""
         found = self.folders.get(folder)
         return found and found.files.get(file_id)
 
@@ -59,7 +59,7 @@
                     yield file
 
     def files_with_errors(self) -> Iterator[BufferedFile]:
-        """The files of which a client is still to be notified that writes were discarded."""
+        """The files with discarded writes that no client was notified of."""
         for folder in self.folders.values():
             for file in folder.files.values():
                 if file.error is not None:
@@ -84,7 +84,7 @@
         return self.last_sequence
 
     def adjust_byte_count(self, folder: BufferedFolder, change: int) -> None:
-        """Adds to the bytes that a folder has buffered."""
+        """Changes the buffered bytes of a folder by `change`."""
         folder.byte_count += change
         self.byte_count += change
         if folder.byte_count:
@@ -93,11 +93,11 @@
             self.nonempty_folders.pop(folder.name, None)
 
     def set_barrier(self, name: str) -> int:
-        """Sets a barrier behind a folder's writes, requests their flush, and returns the barrier's number."""
+        """Sets a barrier after a folder's writes, requests their flush, and returns its number."""
         return self.folder(name).close_layer()
 
     def request_flush(self, file: BufferedFile) -> int:
-        """Requests the flush of a file and of all layers below its newest one.
+        """Requests the flush of a file, and of all layers of its folder below the file's newest.
 
         Returns:
             The sequence number to wait for with `is_flushed`.
@@ -110,29 +110,29 @@
 
     @staticmethod
     def is_flushed(file: BufferedFile, sequence: int) -> bool:
-        """Whether the file's writes up to this one are on the nodes, or discarded with an error left."""
+        """Whether the file's writes up to `sequence` are on the nodes, or were discarded with an error."""
         return not any(layer.has_writes_up_to(sequence) for layer in file.layers.values())
 
     def is_barrier_flushed(self, name: str, barrier: int) -> bool:
-        """Whether all layers up to a barrier are on the nodes or discarded."""
+        """Whether all layers up to a barrier are on the nodes or were discarded."""
         lowest = self.folder(name).lowest_layer()
         return lowest is None or lowest > barrier
 
     def discard(self, file: BufferedFile, barrier: int, reason: str) -> None:
-        """Discards a file's writes from a layer on and leaves an error for its clients."""
+        """Discards a file's writes from a layer on and sets the error for its clients."""
         for number in [number for number in file.layers if number >= barrier]:
             layer = file.layers.pop(number)
             self.adjust_byte_count(self.folder(file.folder), -layer.byte_count)
             file.error = WritesDiscardedError(file.path, reason)
 
     def release_flushed(self, file: BufferedFile) -> None:
-        """Resets a file without buffered writes, and forgets it where nothing else needs it."""
+        """Resets a file if it has no buffered writes, and forgets it if nothing else needs it."""
         if not file.layers:
             file.flush_requested, file.recovered = 0, False
         self.forget_if_unused(file)
 
     def take_error(self, file: BufferedFile) -> WritesDiscardedError | None:
-        """The error that no client was notified of yet; it is returned once."""
+        """Returns the file's error, if any, and clears it."""
         error, file.error = file.error, None
         self.forget_if_unused(file)
         return error
--- a/rushmux/buffer/disk.py
+++ b/rushmux/buffer/disk.py
@@ -1,4 +1,4 @@
-"""Where the segments of the write-ahead log are stored: a folder of a disk, or simulated in memory."""
+"""Storage of the write-ahead log's segments: a folder on disk, or simulated in memory."""
 
 import fcntl
 import os
@@ -14,30 +14,30 @@
 
 
 class SegmentStorage(Protocol):
-    """What the write-ahead log needs of a disk."""
+    """The storage operations that the write-ahead log needs."""
 
     def names(self) -> list[str]:
-        """The segments in the order they were made."""
+        """The names of the segments in the order of their creation."""
 
     def read(self, name: str) -> bytes:
         """A segment's bytes."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Adds bytes at the end of a segment; OSError where the disk does not take them all."""
+        """Appends bytes to a segment; OSError if not all of them were written."""
 
     def remove(self, name: str) -> None:
-        """Removes a segment; one that does not exist is no error."""
+        """Removes a segment if it exists."""
 
     def quarantine(self, name: str) -> None:
-        """Sets a damaged segment aside, for a person to look at."""
+        """Sets a damaged segment aside for inspection."""
 
 
 class SegmentFolder:
-    """Segments in a folder, which is locked by one program at a time.
+    """Segments in a folder that one program at a time can lock.
 
     Args:
-        folder: The folder, which is made where there is none.
-        sync: Whether each append waits until it has reached the disk.
+        folder: The folder, which is created if missing.
+        sync: Whether each append waits until the data is on disk.
 
     Raises:
         LogInUseError: Another program holds the folder's lock.
@@ -48,15 +48,15 @@
         self.sync = sync
         self.descriptors: dict[str, int] = {}
         self.folder.mkdir(parents=True, exist_ok=True)
-        # An earlier process that was only stopped would go on writing beside the new one.
+        # Without the lock, an earlier process that was only paused could go on writing to the same log.
         self.lock = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, OWNER_ONLY)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError as fault:
-            raise LogInUseError(folder) from fault
+        except OSError as error:
+            raise LogInUseError(folder) from error
 
     def names(self) -> list[str]:
-        """The segments in the order they were made."""
+        """The names of the segments in the order of their creation."""
         return sorted(path.name for path in self.folder.glob(f"*{SEGMENT_SUFFIX}"))
 
     def read(self, name: str) -> bytes:
@@ -64,7 +64,7 @@
         return (self.folder / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        """Adds bytes at the end of a segment; OSError where the disk does not take them all."""
+        """Appends bytes to a segment; OSError if not all of them were written."""
         if name not in self.descriptors:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
             self.descriptors[name] = os.open(self.folder / name, flags, OWNER_ONLY)
@@ -75,22 +75,22 @@
             os.fdatasync(descriptor)
 
     def remove(self, name: str) -> None:
-        """Removes a segment; one that does not exist is no error."""
+        """Removes a segment if it exists."""
         if name in self.descriptors:
             os.close(self.descriptors.pop(name))
         (self.folder / name).unlink(missing_ok=True)
 
     def quarantine(self, name: str) -> None:
-        """Sets a damaged segment aside, for a person to look at."""
+        """Sets a damaged segment aside for inspection."""
         os.replace(self.folder / name, self.folder / (name + QUARANTINE_SUFFIX))
 
 
 class SimulatedSegments:
-    """Segments in memory, on a disk that can be made to fail.
+    """Segments in memory, with faults that can be injected.
 
     Attributes:
-        files: The bytes of each file by its name.
-        append_errno: Number of the OSError that appends end with; None where they succeed.
+        files: Contents of the files by name.
+        append_errno: The errno with which appends fail; None if they succeed.
         partial_append: Whether a failing append still writes half of its bytes, as a full disk does.
     """
 
@@ -100,7 +100,7 @@
         self.partial_append = False
 
     def names(self) -> list[str]:
-        """The segments in the order they were made."""
+        """The names of the segments in the order of their creation."""
         return sorted(name for name in self.files if name.endswith(SEGMENT_SUFFIX))
 
     def read(self, name: str) -> bytes:
@@ -108,7 +108,7 @@
         return bytes(self.files[name])
 
     def append(self, name: str, data: bytes) -> None:
-        """Adds bytes at the end of a segment; OSError where the disk is made to fail."""
+        """Appends bytes to a segment; OSError while `append_errno` is set."""
         if self.append_errno is not None:
             if self.partial_append:
                 self.files.setdefault(name, bytearray()).extend(data[: len(data) // 2])
@@ -116,9 +116,9 @@
         self.files.setdefault(name, bytearray()).extend(data)
 
     def remove(self, name: str) -> None:
-        """Removes a segment; one that does not exist is no error."""
+        """Removes a segment if it exists."""
         self.files.pop(name, None)
 
     def quarantine(self, name: str) -> None:
-        """Sets a damaged segment aside, for a person to look at."""
+        """Sets a damaged segment aside for inspection."""
         self.files[name + QUARANTINE_SUFFIX] = self.files.pop(name)
--- a/rushmux/buffer/errors.py
+++ b/rushmux/buffer/errors.py
@@ -34,19 +34,19 @@
 
 
 class SegmentError(WriteBackError):
-    """A file is no log segment of this format.
+    """A file is not a log segment of this format.
 
     Attributes:
         header: The first bytes of the file.
     """
 
     def __init__(self, header: bytes, expected: bytes):
-        super().__init__(f"begins with {header!r}; a segment of this program begins with {expected!r}")
+        super().__init__(f"segment begins with {header!r} instead of {expected!r}")
         self.header = header
 
 
 class RecordError(WriteBackError):
-    """A log record has a valid checksum but not the fields of its kind.
+    """A log record has a valid checksum but lacks fields of its kind.
 
     Attributes:
         kind: The name of the record's kind.
@@ -60,7 +60,7 @@
 
 
 class MissingBaseError(WriteBackError):
-    """The log has a write of a file without a base record of the file before it.
+    """The log has a write of a file but no base record before it.
 
     Attributes:
         folder: The file's folder.
--- a/rushmux/buffer/extents.py
+++ b/rushmux/buffer/extents.py
@@ -1,27 +1,26 @@
-"""An index of byte ranges of a file that has the newest bytes of each place; no I/O.
+"""An index of the newest bytes written to each place of a file; no I/O.
 
-Extents never overlap.  They stand in order in chunks of bounded length, so that an insertion moves some
-hundred references and not all of them.  Bytes are never copied: an extent is a view of the write that brought
-it.
+Extents never overlap.  They are kept in order in chunks of bounded length, so that an insertion moves some
+hundred references, not all of them.  Bytes are never copied: an extent is a view of its write's data.
 """
 
 from bisect import bisect_right
 from collections.abc import Iterator
 from typing import NamedTuple
 
-MAX_CHUNK = 512  # extents in a chunk before it is split: so many move in a microsecond
+MAX_CHUNK = 512  # extents per chunk before it is split: this many are moved in a microsecond
 
 
 class BufferedExtent(NamedTuple):
-    """Bytes of one write."""
+    """A range of bytes of one write."""
 
     start: int  # offset in the file
     end: int  # one past the last byte
-    sequence: int  # number of the write, in the order they came
+    sequence: int  # sequence number of the write
     data: memoryview
 
     def clipped(self, start: int, end: int) -> "BufferedExtent":
-        """The part that lies in a range, which has to overlap this one."""
+        """The part within a range that overlaps this extent."""
         if start <= self.start and self.end <= end:
             return self
         low, high = max(start, self.start), min(end, self.end)
@@ -29,17 +28,17 @@
 
 
 class Position(NamedTuple):
-    """Where an extent stands: number of the chunk, and place in it."""
+    """The position of an extent: index of its chunk, and index in it."""
 
     chunk: int
     place: int
 
 
 class ExtentIndex:
-    """Extents in order of their offsets.
+    """Extents in the order of their offsets.
 
     Attributes:
-        chunks: Lists of extents, none of them empty.
+        chunks: Non-empty lists of extents.
         chunk_starts: Offset of the first extent of each chunk.
         byte_count: Bytes in all extents.
     """
@@ -85,7 +84,7 @@
             place = 0
 
     def insert(self, start: int, data: bytes | memoryview, sequence: int) -> None:
-        """Puts a write over what is there."""
+        """Inserts a write over older extents."""
         data = memoryview(data)
         end = start + len(data)
         if start == end:
@@ -108,7 +107,7 @@
         self._replace(first, position, new)
 
     def _replace(self, first: Position, last: Position, new: list[BufferedExtent]) -> None:
-        """Puts new extents in place of those from `first` to before `last`."""
+        """Replaces the extents from `first` up to, not including, `last`."""
         if not self.chunks:
             self.chunks, self.chunk_starts = [new], [new[0].start]
             return
@@ -122,14 +121,14 @@
         self._split(first.chunk)
 
     def _replace_across_chunks(self, first: Position, last: Position, new: list[BufferedExtent]) -> None:
-        """Joins the head of the first chunk, the new extents and the rest of the last chunk."""
+        """Joins the start of the first chunk, the new extents and the rest of the last chunk."""
         rest = self.chunks[last.chunk][last.place :] if last.place and last.chunk < len(self.chunks) else []
         past = last.chunk + 1 if rest else last.chunk
         self.chunks[first.chunk][first.place :] = new + rest
         del self.chunks[first.chunk + 1 : past], self.chunk_starts[first.chunk + 1 : past]
 
     def _split(self, chunk: int) -> None:
-        """Splits a chunk that has grown too long."""
+        """Splits a chunk that is too long."""
         extents = self.chunks[chunk]
         while len(extents) > MAX_CHUNK:
             rest = extents[MAX_CHUNK // 2 :]
@@ -149,7 +148,7 @@
         return found
 
     def runs(self, block_size: int) -> Iterator[list[BufferedExtent]]:
-        """Adjacent extents together, split at every multiple of `block_size` bytes."""
+        """Groups adjacent extents, split at every multiple of `block_size` bytes."""
         run: list[BufferedExtent] = []
         for extent in self._split_by_block(block_size):
             if run and (extent.start != run[-1].end or extent.start % block_size == 0):
--- a/rushmux/buffer/flush_policy.py
+++ b/rushmux/buffer/flush_policy.py
@@ -1,6 +1,6 @@
-"""Decides which writes are admitted, which are flushed when, and what happens to those that cannot be.
+"""Decides which writes are admitted, when they are flushed, and which are discarded.
 
-There is no I/O and no clock; times are seconds of the caller's clock.
+There is no I/O and no clock; times are seconds on the caller's clock.
 """
 
 from collections import deque
@@ -13,13 +13,13 @@
 from rushmux.buffer.buffered_writes import BufferedWrites
 from rushmux.buffer.extents import ExtentIndex
 
-PRESSURE = 0.5  # of a limit in bytes: beyond it the oldest writes are flushed regardless of the budget
-STALE = 0.3  # of the retention: while flushes fail, writes older than this stop new ones
-INITIAL_BACKOFF = 0.1  # seconds until a failed batch is retried, doubled for each failure in a row
+PRESSURE_FRACTION = 0.5  # of a byte limit: above it the oldest writes are flushed regardless of the budget
+STALE_FRACTION = 0.3  # of the retention: while flushes fail, older writes block new ones
+INITIAL_BACKOFF = 0.1  # seconds until the first retry of a failed batch
 MAX_BACKOFF = 5.0  # seconds
 RETRY_BACKOFF = Backoff(INITIAL_BACKOFF, MAX_BACKOFF)
-REMEMBERED_BATCHES = 32  # batches whose duration is remembered
-MIN_SAMPLES = 4  # batches before their durations are used
+REMEMBERED_BATCHES = 32  # recent batches whose durations are kept
+MIN_SAMPLES = 4  # durations needed for an estimate
 NEVER = float("inf")
 
 
@@ -28,55 +28,55 @@
 
     ADMIT = "admit"
     WAIT = "wait"  # until there is capacity
-    BYPASS = "bypass"  # larger than the buffer: it has to go to the nodes at once
+    BYPASS = "bypass"  # larger than the buffer: goes to the nodes at once
 
 
 class FlushPriority(IntEnum):
     """Why a folder is flushed; lower values go first."""
 
     REQUESTED = 0  # a client waits for it
-    OVERDUE = 1  # its oldest write is old, the buffer fills up, or a barrier follows
+    OVERDUE = 1  # its oldest write is old, the buffer is filling up, or a barrier follows
     BACKGROUND = 2  # its files are idle and the budget allows it
 
 
 class BufferLimits(NamedTuple):
-    """Limits of a buffer."""
+    """The limits of a buffer."""
 
     edge_bytes: int = 64 << 20
     folder_bytes: int = 8 << 20
     max_age: float = 2.0  # seconds after which a write is flushed regardless of the budget
     max_retention: float = 30.0  # seconds after which a write that cannot be flushed is discarded
-    idle_time: float = 0.3  # seconds without a new write after which a file may be flushed
+    idle_time: float = 0.3  # seconds since its last write after which a file may be flushed
     batch_files: int = 64
     batch_bytes: int = 4 << 20
-    max_batches: int = 8  # in flight, each of another folder
-    background_share: float = 0.5  # of a plan's nominal rate, for flushes that nobody waits for
+    max_batches: int = 8  # in flight, at most one per folder
+    background_share: float = 0.5  # of a plan's nominal rate, for background flushes
 
 
 class FlushRank(NamedTuple):
-    """Order among the folders that are due: by priority, then by age."""
+    """The order of due folders: by priority, then by age."""
 
     priority: FlushPriority
     oldest_at: float
 
 
 class FlushCheck(NamedTuple):
-    """Whether a folder is due: its rank, or None and when to check again."""
+    """The rank of a folder that is due, or None and when to check again."""
 
     rank: FlushRank | None
     check_at: float
 
 
 class BatchPart(NamedTuple):
-    """One file's share of a batch."""
+    """The writes of one file in a batch."""
 
     file: BufferedFile
     index: ExtentIndex
-    last_sequence: int  # the newest write in it
+    last_sequence: int  # sequence number of the newest write
 
 
 class Batch(NamedTuple):
-    """Writes of one folder and layer that one change of rows makes visible."""
+    """Writes of one folder and layer, which a single change of rows makes visible."""
 
     folder: BufferedFolder
     barrier: int
@@ -87,7 +87,7 @@
 
 
 class Discard(NamedTuple):
-    """A file's writes from a layer on, which will never reach the nodes."""
+    """A file's writes from a layer on that will never reach the nodes."""
 
     file: BufferedFile
     barrier: int
@@ -95,18 +95,18 @@
 
 
 def accept_discards(discards: Sequence[Discard]) -> bool:
-    """Records nothing, for a buffer without a log."""
+    """Accepts all discards, for a buffer without a log."""
     return True
 
 
 class FlushPolicy:
-    """Decides on the writes of one edge.
+    """The flush policy of one edge.
 
     Args:
         writes: The buffered writes.
         limits: The buffer's limits.
-        units_of: Gives the units that a write of so many bytes costs.
-        record_discards: Records what is about to be discarded; whether a crash will not bring it back.
+        units_of: Maps the size of a write in bytes to its cost in units.
+        record_discards: Records discards in advance; returns whether they will outlast a crash.
     """
 
     def __init__(
@@ -133,18 +133,18 @@
             or folder.byte_count + size > limits.folder_bytes
         ):
             return Admission.WAIT
-        # Writes that cannot be flushed would grow old unseen while more are answered on top of them.
-        if folder.failures and now - folder.oldest_write_at(now) > STALE * limits.max_retention:
+        # Otherwise clients would not notice failing flushes, and more answered writes would be at risk.
+        if folder.failures and now - folder.oldest_write_at(now) > STALE_FRACTION * limits.max_retention:
             return Admission.WAIT
         return Admission.ADMIT
 
     def can_flush_within(self, time_left: float) -> bool:
-        """Whether a flush is worth waiting for: half of the last batches took less (seconds)."""
+        """Whether a flush probably ends within `time_left` seconds: half of the recent batches did."""
         durations = sorted(self.batch_durations)
         return len(durations) < MIN_SAMPLES or time_left >= durations[len(durations) // 2]
 
     def check(self, folder: BufferedFolder, now: float) -> FlushCheck:
-        """Whether and why a folder is to be flushed now."""
+        """Whether and why a folder should be flushed now."""
         lowest = folder.lowest_layer()
         if lowest is None or folder.flushing:
             return FlushCheck(None, NEVER)
@@ -154,21 +154,21 @@
         oldest_at = min(file.layers[lowest].oldest_at for file in files)
         if _is_requested(folder, lowest, files):
             return FlushCheck(FlushRank(FlushPriority.REQUESTED, oldest_at), now)
-        if self._is_crowded(folder) or now - oldest_at >= self.limits.max_age or folder.barrier > lowest:
+        if self._is_nearly_full(folder) or now - oldest_at >= self.limits.max_age or folder.barrier > lowest:
             return FlushCheck(FlushRank(FlushPriority.OVERDUE, oldest_at), now)
         idle_at = max(file.last_write_at for file in files) + self.limits.idle_time
         if idle_at <= now and folder.budget.refill(now) >= 1:
             return FlushCheck(FlushRank(FlushPriority.BACKGROUND, oldest_at), now)
-        affordable_at = now + folder.budget.time_until_one()
+        affordable_at = now + folder.budget.time_until_unit()
         return FlushCheck(None, min(oldest_at + self.limits.max_age, max(idle_at, affordable_at)))
 
-    def _is_crowded(self, folder: BufferedFolder) -> bool:
-        if folder.byte_count > PRESSURE * self.limits.folder_bytes:
+    def _is_nearly_full(self, folder: BufferedFolder) -> bool:
+        if folder.byte_count > PRESSURE_FRACTION * self.limits.folder_bytes:
             return True
-        return self.writes.byte_count > PRESSURE * self.limits.edge_bytes
+        return self.writes.byte_count > PRESSURE_FRACTION * self.limits.edge_bytes
 
     def next_batch(self, now: float) -> tuple[Batch | None, float]:
-        """Starts the batch to go next.
+        """Starts the most urgent batch that is due.
 
         Returns:
             The batch and `now`, or None and when to call again.
@@ -187,7 +187,7 @@
         return self._start_batch(best_folder, is_requested, now), now
 
     def _start_batch(self, folder: BufferedFolder, is_requested: bool, now: float) -> Batch:
-        """Takes the files of the oldest layer: those that clients wait for first, then the oldest."""
+        """Takes files of the lowest layer: first those that clients wait for, then by age."""
         lowest = folder.lowest_layer()
         files = folder.files_in_layer(lowest)
         files.sort(key=lambda file: (not file.flush_requested, file.layers[lowest].oldest_at))
@@ -205,19 +205,19 @@
         return Batch(folder, lowest, tuple(parts), is_requested, now, oldest_at)
 
     def _end_batch(self, batch: Batch) -> list[tuple[BufferedFile, Layer]]:
-        """The batch's files that still have its layer; the others were discarded meanwhile."""
+        """Returns the batch's files whose writes were not discarded meanwhile."""
         batch.folder.flushing = False
         self.batches_in_flight -= 1
         files = [part.file for part in batch.parts]
         return [(file, file.layers[batch.barrier]) for file in files if batch.barrier in file.layers]
 
     def on_batch_committed(self, batch: Batch, now: float, skipped: dict[BufferedFile, str]) -> None:
-        """Notes that a batch is visible to all, but for the skipped files (with the reason of each)."""
+        """Notes that a batch is visible to all edges, except for the skipped files (mapped to reasons)."""
         remaining = self._end_batch(batch)
         batch.folder.failures = 0
         self.batch_durations.append(now - batch.started_at)
         discards = [Discard(file, batch.barrier, skipped[file]) for file, _ in remaining if file in skipped]
-        # Recovery would skip them again, so they go whether or not the record is taken.
+        # Even if this is not recorded they are discarded, because recovery would skip them again.
         self._record(discards)
         for file, layer in remaining:
             self.writes.adjust_byte_count(batch.folder, -layer.in_flight.byte_count)
@@ -229,10 +229,10 @@
         self._discard(discards)
 
     def on_batch_failed(self, batch: Batch, now: float, reason: str) -> None:
-        """Notes that a batch is not visible, or that nobody knows.
+        """Notes that a batch failed, or that its outcome is unknown.
 
         It is retried after a backoff.  Writes that are too old are discarded with all layers above, unless
-        that cannot be recorded: what a client was told must not be undone by a crash.
+        that cannot be recorded: a crash must not bring back what a client was told is lost.
         """
         remaining = self._end_batch(batch)
         folder = batch.folder
@@ -247,12 +247,12 @@
             if self._record(discards):
                 self._discard(discards)
 
-    def give_up(
+    def discard_recovered(
         self, folder: BufferedFolder, barrier: int, reason: str, files: Collection[BufferedFile]
     ) -> None:
-        """Discards these files' writes of a layer, and all layers above it.
+        """Discards the files' writes of a layer, and all layers above it.
 
-        For recovered files, of which another start would find the same.
+        For recovered files: if this is not recorded, the next recovery comes to the same result.
         """
         discards = _discards_from(folder, barrier, reason, files)
         self._record(discards)
@@ -270,8 +270,8 @@
 def _discards_from(
     folder: BufferedFolder, barrier: int, reason: str, files: Collection[BufferedFile]
 ) -> list[Discard]:
-    """These files' writes of a layer, and all layers above it."""
-    # A layer above one that was discarded would become visible out of order across the barrier.
+    """The files' writes of a layer, and all layers above it."""
+    # A layer above a discarded one would become visible without the writes before its barrier.
     discards = [
         Discard(file, barrier if file in files else barrier + 1, reason) for file in folder.files.values()
     ]
--- a/rushmux/buffer/journal.py
+++ b/rushmux/buffer/journal.py
@@ -1,8 +1,8 @@
-"""The codec of the write-ahead log: records to bytes and back, no I/O.
+"""The record format of the write-ahead log; no I/O.
 
-A segment begins with eight bytes: `RMXB`, the format as a number of two bytes, and two zero bytes.
-A record is its length and the CRC-32 of its body, four bytes each, and the body: a byte for the kind, four
-bytes for the length of its fields as JSON, the fields, and the data of a write.  Numbers are big-endian.
+A segment begins with eight bytes: `RMXB`, the format version in two bytes, and two zero bytes.
+A record is the length and the CRC-32 of its body, four bytes each, and the body: the kind in one byte, the
+length of the fields in four, the fields as JSON, and the data of a write.  Numbers are big-endian.
 """
 
 import struct
@@ -16,13 +16,13 @@
 
 FORMAT = 1
 HEADER = b"RMXB" + FORMAT.to_bytes(2, "big") + b"\0\0"
-FRAME = struct.Struct(">II")  # length and CRC-32 of the body
+FRAME_HEADER = struct.Struct(">II")  # length and CRC-32 of the body
 BODY_PREFIX = struct.Struct(">BI")  # kind, length of the fields
-MAX_BODY = 2 << 20  # bytes: more than a write of the largest size needs
+MAX_BODY = 2 << 20  # bytes; more than the largest write needs
 
 
 class RecordKind(IntEnum):
-    """Kinds of records; the values are those in the log."""
+    """Kinds of records, with their values in the log."""
 
     BASE = 1
     WRITE = 2
@@ -34,11 +34,11 @@
     NOTIFIED = 8
 
 
-# The names of the fields below are the JSON keys in the log, in the order in which they are written.
+# The field names of the records below are the JSON keys in the log, in this order.
 
 
 class BaseRecord(NamedTuple):
-    """A file becomes dirty; `version` is that of its row, over which the writes go."""
+    """A file becomes dirty; its writes build on `version` of its row."""
 
     folder: str
     file: str
@@ -65,7 +65,7 @@
 
 
 class IntentRecord(NamedTuple):
-    """A change of the rows of these files, which carries this stamp, is about to be sent."""
+    """A change of these files' rows, with this stamp, is about to be sent."""
 
     folder: str
     stamp: str
@@ -73,7 +73,7 @@
 
 
 class FlushedRecord(NamedTuple):
-    """A file's writes up to `number` are on the nodes, and its row has this version."""
+    """A file's writes up to `number` are on the nodes, and its row has `version`."""
 
     folder: str
     file: str
@@ -82,10 +82,10 @@
 
 
 class DiscardedRecord(NamedTuple):
-    """A file's writes so far were discarded, from the layer `barrier` on.
+    """A file's writes so far were discarded, from layer `barrier` on.
 
-    Earlier versions wrote `folder` and `file` alone, and meant all layers.  Until a client is notified, its
-    error names `path` and `reason`; without a reason there is nothing to notify of.
+    Earlier program versions wrote only `folder` and `file`, which covered all layers.  The error of which a
+    client has to be notified names `path` and `reason`; without a reason there is none.
     """
 
     folder: str
@@ -96,14 +96,14 @@
 
 
 class NotifiedRecord(NamedTuple):
-    """A client of the file was notified that writes were discarded."""
+    """A client was notified that writes of the file were discarded."""
 
     folder: str
     file: str
 
 
 class EpochRecord(NamedTuple):
-    """An epoch begins: no earlier one is needed to read what follows."""
+    """An epoch begins: what follows can be read without earlier ones."""
 
     epoch: int
 
@@ -133,12 +133,12 @@
 
 
 class SegmentContents(NamedTuple):
-    """What a segment contains.
+    """The decoded contents of a segment.
 
     Attributes:
-        records: The complete records up to the first that is not.
-        torn: Whether the last record was cut off, as by a kill.
-        corrupt_at: Offset of a damaged record with complete ones behind it; None where there is none.
+        records: The records before the first incomplete or damaged one.
+        torn: Whether the segment ends within a record, as after a crash.
+        corrupt_at: Offset of a damaged record that complete ones follow, or None.
     """
 
     records: list[Record]
@@ -147,7 +147,7 @@
 
 
 class _Frame(NamedTuple):
-    """A record with a valid checksum, its fields not looked at yet, and where the next one begins."""
+    """A record with a valid checksum but unchecked fields; `end` is where the next one begins."""
 
     kind: RecordKind
     fields: dict
@@ -156,31 +156,34 @@
 
 
 def encode(record: Record) -> bytes:
-    """The bytes of a record."""
+    """Encodes a record."""
     fields = record._asdict()
     data = fields.pop("data", b"")
-    text = orjson.dumps(fields)
-    body = BODY_PREFIX.pack(RECORD_KINDS[type(record)], len(text)) + text + bytes(data)
-    return FRAME.pack(len(body), zlib.crc32(body)) + body
+    encoded_fields = orjson.dumps(fields)
+    body = BODY_PREFIX.pack(RECORD_KINDS[type(record)], len(encoded_fields)) + encoded_fields + bytes(data)
+    return FRAME_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
-def decode_segment(text: bytes) -> SegmentContents:
-    """Reads a segment.
+def decode_segment(segment: bytes) -> SegmentContents:
+    """Decodes a segment.
 
     Raises:
-        SegmentError: It does not begin as a segment of this format.
-        RecordError: A record with a valid checksum lacks a field of its kind.
+        SegmentError: It does not begin with the header of this format.
+        RecordError: A record with a valid checksum lacks fields of its kind.
     """
-    if len(text) < len(HEADER) and HEADER.startswith(text):
-        return SegmentContents([], bool(text), None)  # killed while it was made
-    if text[: len(HEADER)] != HEADER:
-        raise SegmentError(text[:8], HEADER)
-    view, offset, records = memoryview(text), len(HEADER), []
-    while offset < len(text):
+    if len(segment) < len(HEADER) and HEADER.startswith(segment):
+        return SegmentContents([], bool(segment), None)  # the program was killed while creating it
+    if segment[: len(HEADER)] != HEADER:
+        raise SegmentError(segment[:8], HEADER)
+    view, offset, records = memoryview(segment), len(HEADER), []
+    while offset < len(segment):
         frame = _frame_at(view, offset)
         if frame is None:
-            # A damaged middle that is taken for a torn end loses what comes after it unnoticed.
-            corrupt = any(_frame_at(view, place) for place in range(offset + 1, len(text) - FRAME.size))
+            # Corruption mistaken for a torn end would silently lose the records after it.
+            corrupt = any(
+                _frame_at(view, later_offset)
+                for later_offset in range(offset + 1, len(segment) - FRAME_HEADER.size)
+            )
             return SegmentContents(records, not corrupt, offset if corrupt else None)
         records.append(_record_of(frame))
         offset = frame.end
@@ -188,11 +191,11 @@
 
 
 def _frame_at(view: memoryview, offset: int) -> _Frame | None:
-    """The record at an offset; None where there is no complete one."""
-    if len(view) - offset < FRAME.size:
+    """The record at an offset; None if it is incomplete or damaged."""
+    if len(view) - offset < FRAME_HEADER.size:
         return None
-    length, checksum = FRAME.unpack_from(view, offset)
-    start = offset + FRAME.size
+    length, checksum = FRAME_HEADER.unpack_from(view, offset)
+    start = offset + FRAME_HEADER.size
     if not BODY_PREFIX.size <= length <= MAX_BODY or len(view) - start < length:
         return None
     body = view[start : start + length]
@@ -214,6 +217,6 @@
     try:
         fields = {**record_type._field_defaults, **frame.fields}
         values = [fields[name] for name in record_type._fields if name != "data"]
-    except (KeyError, TypeError) as fault:
-        raise RecordError(frame.kind.name, frame.fields) from fault
+    except (KeyError, TypeError) as error:
+        raise RecordError(frame.kind.name, frame.fields) from error
     return record_type(*values, frame.data) if record_type is WriteRecord else record_type(*values)
--- a/rushmux/buffer/linear_extents.py
+++ b/rushmux/buffer/linear_extents.py
@@ -1,4 +1,4 @@
-"""A plain implementation of the extent index that tests and benchmarks compare the other with."""
+"""A simple extent index, the reference for tests and benchmarks."""
 
 from bisect import insort
 from collections.abc import Iterator
@@ -7,7 +7,7 @@
 
 
 class LinearExtentIndex:
-    """The same as `extents.ExtentIndex` in one sorted list, which each call walks from its start."""
+    """As `extents.ExtentIndex`, but one sorted list that each call scans from its start."""
 
     def __init__(self):
         self.extents: list[BufferedExtent] = []
@@ -16,7 +16,7 @@
         return iter(self.extents)
 
     def insert(self, start: int, data: bytes | memoryview, sequence: int) -> None:
-        """Puts a write over what is there."""
+        """Inserts a write over older extents."""
         data, extents = memoryview(data), []
         end = start + len(data)
         for old in self.extents:
--- a/rushmux/buffer/recovery.py
+++ b/rushmux/buffer/recovery.py
@@ -1,4 +1,4 @@
-"""Brings back what an earlier run of an edge had buffered, from its write-ahead log."""
+"""Restores the writes that an earlier run of an edge had buffered from its write-ahead log."""
 
 from collections import defaultdict, deque
 from collections.abc import Container, Iterable
@@ -15,7 +15,7 @@
 
 
 class RecoveredWrite(NamedTuple):
-    """A write that was not flushed; writes sort in the order they came."""
+    """A write that was not flushed; instances sort by sequence number."""
 
     sequence: int
     barrier: int
@@ -26,7 +26,7 @@
 
 
 class RecoveredFile:
-    """A file as the log's records leave it."""
+    """The state of a file after the log's records."""
 
     def __init__(self, path: str, version: int):
         self.path = path
@@ -36,12 +36,12 @@
 
 
 class RecoveredFiles:
-    """Rebuilds the files that were dirty from the records of an epoch, in their order."""
+    """Rebuilds the dirty files from the records of an epoch."""
 
     def __init__(self, records: Iterable[journal.Record]):
-        # Both by folder and id.
+        # Both by folder and file id.
         self.files: dict[tuple[str, str], RecoveredFile] = {}
-        self.discards: dict[tuple[str, str], journal.DiscardedRecord] = {}  # no client was notified of them
+        self.discards: dict[tuple[str, str], journal.DiscardedRecord] = {}  # no client was notified of these
         handlers = {
             journal.BaseRecord: self._on_base,
             journal.WriteRecord: self._on_write,
@@ -56,7 +56,7 @@
                 handler(record)
 
     def writes(self) -> list[RecoveredWrite]:
-        """The writes that were not flushed, in the order they came."""
+        """The writes that were not flushed, by sequence number."""
         return sorted(write for file in self.files.values() for write in file.writes)
 
     def _on_base(self, record: journal.BaseRecord) -> None:
@@ -90,7 +90,7 @@
         if record.reason:
             self.discards[key] = record
         file = self.files.get(key)
-        if file is not None:  # its lower layers are still to be flushed
+        if file is not None:  # its lower layers still have to be flushed
             file.writes = [write for write in file.writes if write.barrier < record.barrier]
 
     def _on_notified(self, record: journal.NotifiedRecord) -> None:
@@ -104,17 +104,17 @@
     now: float,
     logger: FilteringBoundLogger,
 ) -> dict[str, int]:
-    """Buffers what an earlier run had not flushed, and replaces the log's epochs by a new one.
+    """Buffers the unflushed writes of an earlier run, and replaces the log's epochs with a new one.
 
     Args:
-        wal: The log, of which nothing was used yet.
-        writes: Takes the recovered writes, as if they had come now.
-        known_folders: The folders that the deployment has; writes of others are skipped and logged.
-        now: Seconds of the loop's clock.
+        wal: The log, not used before.
+        writes: Takes the recovered writes, as of `now`.
+        known_folders: The deployment's folders; writes in others are logged and skipped.
+        now: Time on the loop's clock, in seconds.
         logger: The edge's logger.
 
     Returns:
-        The barrier up to which each folder with recovered writes has to be flushed before it is served.
+        By folder with recovered writes, the barrier up to which it must be flushed before it is served.
     """
     old_segments = wal.storage.names()
     segments_of_epoch = defaultdict(list)
@@ -135,7 +135,7 @@
     records = []
     for epoch in sorted(segments_of_epoch, reverse=True):
         records = _read_segments(wal.storage, segments_of_epoch[epoch], logger)
-        # An epoch counts from its first record on; one that a crash cut short leaves the one before it.
+        # An epoch is valid once its first record is written; before that the previous epoch counts.
         if records and isinstance(records[0], journal.EpochRecord):
             break
     return records
@@ -148,12 +148,12 @@
     for name in names:
         try:
             contents = journal.decode_segment(storage.read(name))
-        except SegmentError as fault:
+        except SegmentError as error:
             contents = journal.SegmentContents([], False, 0)
-            logger.error("buffer.log_segment_invalid", segment=name, reason=str(fault))
+            logger.error("buffer.log_segment_invalid", segment=name, reason=str(error))
         records += contents.records
         if contents.corrupt_at is not None:
-            # What follows is not flushed: it could become visible out of order.
+            # Later records are not flushed: they could become visible out of order.
             logger.error("buffer.log_segment_corrupt", segment=name, offset=contents.corrupt_at)
             storage.quarantine(name)
             break
--- a/rushmux/buffer/row_cache.py
+++ b/rushmux/buffer/row_cache.py
@@ -1,4 +1,4 @@
-"""The rows of dirty files as this edge last saw them, so that a batch can be committed without a read."""
+"""A cache of the rows of dirty files, so that a batch can be committed without reading them."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class BlockRow(NamedTuple):
-    """A block's row; version 0: there is none."""
+    """A block's row; version 0 if it does not exist."""
 
     version: int
     extents: list[Extent]
@@ -18,14 +18,14 @@
 
 
 class BlockExtent(NamedTuple):
-    """An extent of a block, given by the block's number."""
+    """An extent, and the number of its block."""
 
     block: int
     extent: Extent
 
 
 class FileRows(NamedTuple):
-    """A file's row, its version, and rows of its blocks by their numbers."""
+    """A file's row and its version, and the rows of its blocks by number."""
 
     version: int
     file: FileRow
@@ -33,13 +33,13 @@
 
 
 class RowCache:
-    """Rows by file.  A commit over rows that are out of date fails its check, and is retried."""
+    """Rows by file.  They may be stale: a commit based on them then fails its check and is retried."""
 
     def __init__(self):
         self.rows: dict[BufferedFile, FileRows] = {}
 
     def remember_opened(self, file: BufferedFile, opened: FileView) -> None:
-        """Takes over the rows that an open handle has read, if newer."""
+        """Stores the rows that an open handle has read, if they are newer."""
         known = self.rows.get(file)
         if known is None or known.version < opened.version:
             blocks = {
@@ -48,7 +48,7 @@
             self.rows[file] = FileRows(opened.version, opened.file, blocks)
 
     def remember(self, file: BufferedFile, rows: FileRows) -> None:
-        """Takes over rows that this edge has committed."""
+        """Stores rows that this edge has committed."""
         self.rows[file] = rows
 
     def forget(self, file: BufferedFile) -> None:
@@ -56,14 +56,14 @@
         self.rows.pop(file, None)
 
     def forget_if_unused(self, file: BufferedFile) -> None:
-        """Drops the rows of a file without open handles and buffered writes."""
+        """Drops the rows of a file that has neither open handles nor buffered writes."""
         if not (file.open_handles or file.dirty):
             self.forget(file)
 
     def expected_rows(
         self, extents: dict[BufferedFile, list[BlockExtent]]
     ) -> dict[BufferedFile, FileRows] | None:
-        """The rows that a commit of these extents changes; None where one is not known."""
+        """The rows that a commit of these extents changes; None if one of them is unknown."""
         expected = {}
         for file, written in extents.items():
             known = self.rows.get(file)
@@ -78,5 +78,5 @@
 
 
 def _is_unknown(known: FileRows, number: int) -> bool:
-    """Whether a block may have a row that is not cached; past the end of the file it has none."""
+    """Whether a block may have a row that is not cached; there are none past the end of the file."""
     return number not in known.blocks and number * known.file.block_size < known.file.size
--- a/rushmux/buffer/write_ahead_log.py
+++ b/rushmux/buffer/write_ahead_log.py
@@ -1,7 +1,7 @@
-"""The write-ahead log of a write-back buffer: its epochs, segments and records.
+"""The write-ahead log of a write-back buffer.
 
-An epoch is a series of segments that can be read without any before it.  A new one begins when
-all writes are on the nodes, and when the log has grown much larger than what is buffered.
+An epoch is a series of segments that can be read without earlier ones.  A new epoch begins when all writes
+are on the nodes, or when the log has grown much larger than the buffered bytes.
 """
 
 from collections.abc import Container, Iterable
@@ -14,13 +14,13 @@
 from rushmux.buffer.disk import SEGMENT_SUFFIX, SegmentStorage
 from rushmux.buffer.flush_policy import Batch, Discard
 
-SEGMENT_BYTES = 4 << 20  # after which a new segment begins
-COMPACT_FACTOR = 2  # times what is buffered: a log larger than that, and the slack, is written anew
-COMPACT_SLACK = 4 * SEGMENT_BYTES
+SEGMENT_BYTES = 4 << 20  # size beyond which a new segment begins
+COMPACTION_FACTOR = 2  # a log larger than this times the buffered bytes, plus the slack, is rewritten
+COMPACTION_SLACK = 4 * SEGMENT_BYTES
 
 
 def epoch_of(segment: str) -> int:
-    """The epoch that a segment belongs to, from its name."""
+    """The epoch in a segment's name."""
     return int(segment.split("-")[0])
 
 
@@ -28,13 +28,13 @@
     """The log of one edge.
 
     Args:
-        writes: The buffered writes, which a new epoch begins with.
-        storage: Where the segments are; None: there is no log, and nothing is written.
-        max_bytes: Above this the log is full, and writes wait.
+        writes: The buffered writes, which are copied to each new epoch.
+        storage: The storage of the segments; None disables the log.
+        max_bytes: Size above which the log is full, and writes wait.
         logger: The edge's logger.
 
     Attributes:
-        failed: Whether the disk did not take a record: nothing more is logged, or may be buffered.
+        failed: Whether an append failed: nothing more is logged, and nothing more may be buffered.
     """
 
     def __init__(
@@ -52,46 +52,46 @@
         self.epoch = 1
         self.segment_count = 0  # of this epoch
         self.segment = ""
-        self.segment_sizes: dict[str, int] = {}  # bytes of each segment of this epoch
-        self.pending: list[bytes] = []  # encoded records that are not on the disk yet
+        self.segment_sizes: dict[str, int] = {}  # bytes by segment of this epoch
+        self.pending: list[bytes] = []  # encoded records that are not on disk yet
 
     @property
     def size(self) -> int:
-        """Bytes of this epoch's segments."""
+        """Bytes in this epoch's segments."""
         return sum(self.segment_sizes.values())
 
     @property
     def is_full(self) -> bool:
-        """Whether writes have to wait until the log is shorter."""
+        """Whether writes have to wait for the log to shrink."""
         return self.size > self.max_bytes
 
     def append(self, record: journal.Record) -> None:
-        """Adds a record, which `commit` writes to the disk."""
+        """Adds a record, which `commit` writes to disk."""
         if self.storage is not None:
             self.pending.append(journal.encode(record))
 
     def append_base(self, file: BufferedFile) -> None:
-        """Adds what a file's writes go over; to be called as the file becomes dirty, before its write."""
+        """Adds the state that a file's writes build on; called before the write that makes the file dirty."""
         self.append(journal.BaseRecord(file.folder, file.file_id, file.path, file.version))
         for stamp in file.stamps:
             self.append(journal.IntentRecord(file.folder, stamp, [file.file_id]))
 
     def commit(self) -> None:
-        """Writes the records added so far; where the disk does not take them, the log has failed."""
+        """Writes the records added so far to disk; sets `failed` if that fails."""
         pending, self.pending = self.pending, []
         if not pending or self.failed:
             return
         data = b"".join(pending)
-        if not self.segment_sizes:  # an epoch begins
+        if not self.segment_sizes:  # the first segment of the epoch
             data = journal.encode(journal.EpochRecord(self.epoch)) + data
         if not self.segment_sizes or self.segment_sizes[self.segment] > SEGMENT_BYTES:
             self._begin_segment()
             data = journal.HEADER + data
         try:
             self.storage.append(self.segment, data)
-        except OSError as fault:
+        except OSError as error:
             self.failed = True
-            self.logger.error("buffer.log_append_failed", segment=self.segment, reason=str(fault))
+            self.logger.error("buffer.log_append_failed", segment=self.segment, reason=str(error))
         else:
             self.segment_sizes[self.segment] += len(data)
 
@@ -101,12 +101,12 @@
         self.segment_sizes[self.segment] = 0
 
     def commit_intent(self, folder: str, stamp: str, file_ids: list[str]) -> None:
-        """Notes that a change of these files' rows is about to be sent."""
+        """Logs that a change of these files' rows is about to be sent."""
         self.append(journal.IntentRecord(folder, stamp, file_ids))
         self.commit()
 
     def commit_discarded(self, discards: Iterable[Discard]) -> bool:
-        """Notes that writes are about to be discarded; whether the disk took that, or there is no log."""
+        """Logs that writes are about to be discarded; False if the log has failed."""
         for discard in discards:
             file = discard.file
             self.append(
@@ -116,9 +116,9 @@
         return not self.failed
 
     def commit_flushed(self, batch: Batch, skipped: Container[BufferedFile]) -> None:
-        """Notes that a batch is on the nodes, but for the skipped files.
+        """Logs that a batch, without the skipped files, is on the nodes.
 
-        Begins a new epoch where the log has grown long.
+        Begins a new epoch if the log has grown long or nothing is buffered.
         """
         if self.storage is None:
             return
@@ -130,7 +130,7 @@
                 )
         self.commit()
         buffered = self.writes.byte_count
-        if not buffered or self.size > COMPACT_FACTOR * buffered + COMPACT_SLACK:
+        if not buffered or self.size > COMPACTION_FACTOR * buffered + COMPACTION_SLACK:
             self._begin_epoch()
 
     def _begin_epoch(self) -> None:
@@ -141,14 +141,14 @@
         self.replace(old_segments)
 
     def replace(self, old_segments: Iterable[str]) -> None:
-        """Writes all that a crash must not lose to this epoch, and then removes older segments."""
+        """Writes all state that a crash must not lose to this epoch, then removes the old segments."""
         self._write_snapshot()
         if not self.failed:
             for name in old_segments:
                 self.storage.remove(name)
 
     def _write_snapshot(self) -> None:
-        self.pending = []  # of the earlier epoch
+        self.pending = []  # records of the earlier epoch
         for file in self.writes.files_with_errors():
             self.append(journal.DiscardedRecord(file.folder, file.file_id, 0, file.path, file.error.reason))
         for file in self.writes.dirty_files():
--- a/rushmux/buffer/writeback.py
+++ b/rushmux/buffer/writeback.py
@@ -1,6 +1,6 @@
 """The write-back buffer of an edge: it answers writes at once, flushes and barriers when the nodes have them.
 
-The flush policy decides; this module executes its decisions, and clients wait here for the results.
+This module executes the decisions of the flush policy, and lets clients wait for the results.
 """
 
 import asyncio
@@ -32,20 +32,20 @@
 from rushmux.sftp import packets as sftp
 from rushmux.supervision import Supervisor
 
-BATCH_TIMEOUT = 8.0  # seconds: past the deadlines of a batch's two accesses
-ANSWER_MARGIN = 0.1  # seconds before a request's timeout at which it stops waiting for capacity
-MIN_SLEEP = 0.001  # seconds between two checks of what is due
+BATCH_TIMEOUT = 8.0  # seconds; longer than the deadlines of a batch's stores and commit
+ANSWER_MARGIN = 0.1  # seconds before its timeout at which a request stops waiting for capacity
+MIN_SLEEP = 0.001  # seconds between checks for due batches
 DRAIN_POLL_INTERVAL = 0.05  # seconds
-NOTIFICATION_TIME = 1.0  # seconds after which an answer has surely left; a crash before has it given again
+NOTIFICATION_DELAY = 1.0  # seconds after which an answer has surely been sent
 DEFAULT_LOG_BYTES = 256 << 20
 BACKGROUND_TAG = "-"  # tag of operations that belong to no session
 OPERATION_ERRORS = (OperationShedError, OperationFailedError, RequestRejectedError, ObjectMissingError)
 INTERNAL_ERROR = "a fault of the gateway; it was logged"
-OVERWRITTEN_BELOW = "others wrote while this edge was down"
+LOWER_LAYER_OVERWRITTEN = "others wrote while this edge was down"
 
 
 def limits_of(settings: dict) -> BufferLimits:
-    """The limits that a deployment file's part on the buffer sets; times in seconds."""
+    """Converts the buffer section of a deployment, with times in seconds."""
     return BufferLimits(
         edge_bytes=settings["edge_bytes"],
         folder_bytes=settings["folder_bytes"],
@@ -60,14 +60,14 @@
 
 
 def write_back_factory(deployment: Deployment, storage: SegmentStorage | None = None) -> Callable | None:
-    """Gives the function that makes the buffer of an edge, from its driver, directories and logger.
+    """Returns a function that creates an edge's buffer from its driver, file system and logger.
 
     Args:
         deployment: The deployment.
-        storage: Where the log is; None: there is no log.
+        storage: The storage of the log; None disables the log.
 
     Returns:
-        The function; None where the deployment has no buffer.
+        The function, or None if the deployment has no buffer.
     """
     if deployment.buffer is None:
         return None
@@ -84,14 +84,14 @@
 
     Args:
         driver: The edge's driver.
-        file_system: What the edge's requests share.
+        file_system: State that the edge's requests share.
         logger: The edge's logger.
         limits: The buffer's limits.
-        storage: Where the log is; None: there is no log.
-        max_log_bytes: Above this writes wait until the log is shorter.
+        storage: The storage of the log; None disables the log.
+        max_log_bytes: Log size above which writes wait until it is shorter.
 
     Attributes:
-        recovering: Folders with recovered writes, and the barrier up to which they are to be flushed.
+        recovering: Folders with recovered writes, and the barriers up to which they must be flushed.
     """
 
     def __init__(
@@ -137,15 +137,15 @@
             runner: The client's request.
             start: Offset in the file.
             data: The bytes.
-            opened: The handle, whose rows are remembered for the commit.
+            opened: The handle, whose rows are cached for the commit.
 
         Returns:
-            Whether the write is buffered.  If not it has to go to the nodes at once: it is too large, or the
-            log has failed.
+            Whether the write is buffered.  If not, the caller must send it to the nodes: it is too large, or
+            the log has failed.
 
         Raises:
-            OperationShedError: There was no capacity in the request's time.
-            OperationFailedError: The log failed, and the nodes do not have the write in time.
+            OperationShedError: The buffer had no capacity before the request's timeout.
+            OperationFailedError: The log failed, and the write could not be flushed in time.
             RequestRejectedError: Earlier writes of the file were discarded.
         """
         if not await self._admit(runner, len(data)):
@@ -156,19 +156,19 @@
         self._buffer_write(file, start, data, opened.version)
         self.work_arrived.set()
         self.wal.commit()
-        if self.wal.failed:  # the log lacks this write, so a crash would lose it: it is answered once flushed
+        if self.wal.failed:  # a crash would lose this write: answer only when it is flushed
             await self.flush(file, runner)
         return True
 
     async def _admit(self, runner: OperationRunner, size: int) -> bool:
-        """Waits until a write is admitted; False where it has to bypass the buffer."""
+        """Waits until a write is admitted; False if it must bypass the buffer."""
         while True:
             admission = self.policy.admit(runner.folder, size, self.loop.time())
             if admission is Admission.BYPASS or self.wal.failed:
                 return False
             if admission is Admission.ADMIT and not self.wal.is_full:
                 return True
-            # In a burst the buffer fills up: writers wait for capacity, and are shed before their timeout.
+            # In a burst the buffer fills up: writes wait for capacity, and are shed before their timeout.
             self.work_arrived.set()
             self.capacity_freed.clear()
             try:
@@ -179,7 +179,7 @@
 
     def _buffer_write(self, file: BufferedFile, start: int, data: bytes, version: int) -> None:
         if not file.dirty:
-            # The edge's own last batch may have made a newer version than the one that the handle saw.
+            # The edge's last batch may have made a newer version than the handle has seen.
             file.version = max(file.version, version)
             self.wal.append_base(file)
         sequence = self.writes.add(file, start, data, self.loop.time())
@@ -189,7 +189,7 @@
         self.wal.append(journal.WriteRecord(file.folder, file.file_id, start, sequence, barrier, data))
 
     def on_handle_closed(self, file: BufferedFile) -> None:
-        """Forgets a file that nothing needs any more."""
+        """Forgets the file if nothing else needs it."""
         self.writes.forget_if_unused(file)
         self.row_cache.forget_if_unused(file)
 
@@ -198,7 +198,7 @@
 
         Raises:
             RequestRejectedError: Earlier writes were discarded; raised once.
-            OperationFailedError: The request's time is too short; the flush goes on.
+            OperationFailedError: Too little time is left for the request; the flush goes on.
         """
         if file.dirty:
             sequence = self.writes.request_flush(file)
@@ -208,11 +208,11 @@
     def _raise_error(self, file: BufferedFile) -> None:
         error = self.writes.take_error(file)
         if error is not None:
-            # A crash before the answer has left must not count as a notification: rather one too many.
+            # Logged only when the answer has surely been sent: after a crash better notify twice than never.
             self._cancel_notification(file)
             record = journal.NotifiedRecord(file.folder, file.file_id)
             self.notifications[file.folder, file.file_id] = self.loop.call_later(
-                NOTIFICATION_TIME, self._record_notification, record
+                NOTIFICATION_DELAY, self._record_notification, record
             )
             raise RequestRejectedError(sftp.FAILURE, f"written before and lost: {error}")
 
@@ -227,14 +227,14 @@
         self.wal.commit()
 
     def set_barrier(self, folder: str) -> int:
-        """Sets a barrier: later writes become visible only after all earlier ones.  Returns its number."""
+        """Sets a barrier: later writes become visible only after earlier ones.  Returns its number."""
         barrier = self.writes.set_barrier(folder)
         self.wal.append(journal.BarrierRecord(folder, barrier))
         self.work_arrived.set()
         return barrier
 
     async def wait_for_barrier(self, folder: str, barrier: int, runner: OperationRunner) -> None:
-        """Waits until all writes before a barrier are readable through any edge; raises as `flush` does."""
+        """Waits until all writes before a barrier are readable through any edge; raises like `flush`."""
         await self._wait_until(runner, partial(self.writes.is_barrier_flushed, folder, barrier))
         for file in list(self.writes.folder(folder).files.values()):
             self._raise_error(file)
@@ -243,7 +243,7 @@
         """Waits until a folder's recovered writes are flushed or discarded.
 
         Raises:
-            OperationShedError: It takes too long.
+            OperationShedError: They were not by `until`, on the loop's clock.
         """
         while folder in self.recovering:
             try:
@@ -253,7 +253,7 @@
                 raise OperationShedError from None
 
     async def drain(self, until: float) -> None:
-        """Flushes everything, until a time of the loop's clock at the most."""
+        """Flushes everything, but stops waiting at `until` on the loop's clock."""
         for folder in self.writes.folders.values():
             folder.requested_barrier = folder.barrier
         self.work_arrived.set()
@@ -261,10 +261,10 @@
             await asyncio.sleep(DRAIN_POLL_INTERVAL)
 
     async def _wait_until(self, runner: OperationRunner, is_done: Callable[[], bool]) -> None:
-        """Waits for a condition that the end of a batch may bring about."""
+        """Waits for a condition that the end of a batch may fulfil."""
         self.work_arrived.set()
         if not self.policy.can_flush_within(runner.deadline - self.loop.time()):
-            raise OperationFailedError  # the flush goes on, but could not be answered in time
+            raise OperationFailedError  # the flush goes on, but would not end in time
         while not is_done():
             await self._wait_for_batch()
 
@@ -299,22 +299,24 @@
         runner = OperationRunner(self.driver, batch.folder.name, BACKGROUND_TAG, until)
         try:
             self._on_batch_committed(batch, await self.batch_writer.write(runner, batch))
-        except Exception as fault:  # whatever it is, the writes stay buffered and the batch is retried
-            self._on_batch_failed(batch, fault)
+        except Exception as error:  # after any failure the writes stay buffered, and the batch is retried
+            self._on_batch_failed(batch, error)
         finally:
             self._on_batch_ended(batch)
 
     def _on_batch_committed(self, batch: Batch, outcome: CommitOutcome) -> None:
         self.policy.on_batch_committed(batch, self.loop.time(), outcome.skipped)
         if outcome.overwritten:
-            self.policy.give_up(batch.folder, batch.barrier, OVERWRITTEN_BELOW, outcome.overwritten)
+            self.policy.discard_recovered(
+                batch.folder, batch.barrier, LOWER_LAYER_OVERWRITTEN, outcome.overwritten
+            )
             file_ids = [file.file_id for file in outcome.overwritten]
             self.logger.error("buffer.recovered_writes_overwritten", files=file_ids)
         self.wal.commit_flushed(batch, outcome.skipped)
 
     def _record_discards(self, discards: Sequence[Discard]) -> bool:
-        """Logs what is about to be discarded; False: the disk did not take the record."""
-        for discard in discards:  # what was told before must not count for this
+        """Logs discards in advance; False if they could not be written to disk."""
+        for discard in discards:  # earlier notifications do not cover these discards
             self._cancel_notification(discard.file)
         recorded = self.wal.commit_discarded(discards)
         event = "buffer.writes_discarded" if recorded else "buffer.discard_not_recorded"
@@ -324,9 +326,9 @@
             )
         return recorded
 
-    def _on_batch_failed(self, batch: Batch, fault: Exception) -> None:
-        if isinstance(fault, OPERATION_ERRORS):
-            reason = fault.status_text
+    def _on_batch_failed(self, batch: Batch, error: Exception) -> None:
+        if isinstance(error, OPERATION_ERRORS):
+            reason = error.status_text
         else:
             reason = INTERNAL_ERROR
             self.logger.exception("buffer.internal_error", folder=batch.folder.name)
--- a/tests/buffer/test_journal.py
+++ b/tests/buffer/test_journal.py
@@ -46,7 +46,7 @@
 def test_a_record_without_its_fields_is_an_error():
     text = b"{}"
     body = journal.BODY_PREFIX.pack(journal.RecordKind.BARRIER, len(text)) + text
-    frame = journal.FRAME.pack(len(body), zlib.crc32(body))
+    frame = journal.FRAME_HEADER.pack(len(body), zlib.crc32(body))
     with pytest.raises(RecordError, match=r"a BARRIER record of the log has the fields \{\}"):
         journal.decode_segment(journal.HEADER + frame + body)
 
--- a/tests/buffer/test_write_histories.py
+++ b/tests/buffer/test_write_histories.py
@@ -51,10 +51,10 @@
     for method, replacement in defect.items():
         monkeypatch.setattr(part, method, replacement)
 
-    def is_found(seed):
+    def is_detected(seed):
         try:
             return bool(breaches_of(play, raw, seed))
         except AssertionError:
             return True
 
-    assert any(is_found(seed) for seed in DEFAULT_SEEDS)
+    assert any(is_detected(seed) for seed in DEFAULT_SEEDS)
