--- a/rushmux/standins/write_history.py
+++ b/rushmux/standins/write_history.py
@@ -20,7 +20,7 @@
 from rushmux.buffer.batch_writer import OVERWRITTEN, REMOVED
 from rushmux.buffer.buffered_files import BufferedFile
 from rushmux.buffer.flush_policy import Discard
-from rushmux.buffer.writeback import OVERWRITTEN_BELOW
+from rushmux.buffer.writeback import LOWER_LAYER_OVERWRITTEN
 from rushmux.files import layout
 from rushmux.nodewire import messages
 from rushmux.sftp import packets as sftp
@@ -53,7 +53,7 @@
     "pause": 13,
 }
 """Weight of each step."""
-UNCONDITIONAL = (OVERWRITTEN, OVERWRITTEN_BELOW, REMOVED)
+UNCONDITIONAL = (OVERWRITTEN, LOWER_LAYER_OVERWRITTEN, REMOVED)
 """Reasons for which writes are discarded whether or not the log takes the record: a start finds the same."""
 LOST = "written before and lost"
 
@@ -103,7 +103,7 @@
         for discard in self.discards:
             if self.notified_at.get(discard.file, -1.0) < discard.at:
                 errors.append(f"file {discard.file}: nobody was told of the discard at {discard.at:.3f}")
-            if discard.reason in (OVERWRITTEN, OVERWRITTEN_BELOW) and not others_wrote:
+            if discard.reason in (OVERWRITTEN, LOWER_LAYER_OVERWRITTEN) and not others_wrote:
                 errors.append(f"file {discard.file}: discarded as overwritten, and nobody else wrote")
         return errors
 
--- a/tests/buffer/conftest.py
+++ b/tests/buffer/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the buffer's tests: the example's deployment with its buffer on, its fleets and its clients."""
+"""Fixtures of the buffer tests: the example deployment with a buffer, its fleets and clients."""
 
 import copy
 import json
@@ -15,13 +15,13 @@
 
 @pytest.fixture
 def raw():
-    """The example's text with the buffer on, to be changed at will."""
+    """The example deployment with the buffer enabled, as JSON that tests may change."""
     return {**copy.deepcopy(EXAMPLE), "buffer": {}}
 
 
 @pytest.fixture
 def play(raw):
-    """Plays a story on a fleet of the deployment; the fleet and the story's result."""
+    """Runs a story on a fleet of the deployment; returns the fleet and the story's result."""
 
     def played(story, seed=3, **settings):
         return fleet.play(deployment.build(raw), seed, story, **{"nodes": 4, "unit": 0.004, **settings})
@@ -30,7 +30,7 @@
 
 
 class FileOperations:
-    """What the tests' clients do beside plain reads and writes."""
+    """Client operations beyond plain reads and writes."""
 
     @staticmethod
     async def open(client, path, flags=sftp.READ | sftp.WRITE | sftp.CREATE):
@@ -46,17 +46,17 @@
 
 
 def _string(raw):
-    """A string of the SFTP wire."""
+    """An SFTP string."""
     return len(raw).to_bytes(4, "big") + raw
 
 
 @pytest.fixture
 def files():
-    """Operations on files by an SFTP client."""
+    """Operations of an SFTP client on files."""
     return FileOperations()
 
 
 @pytest.fixture
 def buffered_bytes():
-    """Gives the bytes that an edge of a fleet has buffered."""
+    """Returns the number of bytes that an edge of a fleet has buffered."""
     return lambda fleet, edge=0: fleet.edges[edge].program.buffer.writes.byte_count
--- a/tests/buffer/test_crashes.py
+++ b/tests/buffer/test_crashes.py
@@ -1,6 +1,6 @@
-"""Crashes at random moments: no flushed write is lost, no barrier is crossed.
+"""Crashes at random moments: no flushed write is lost, and no write passes a barrier.
 
-Buffers with a part of their protocol removed are found out by the same checks.
+The same checks detect buffers without a part of their protocol.
 """
 
 import random
@@ -17,7 +17,7 @@
 
 
 def crash_round(seed):
-    """A story in which edge 0 is killed while a client writes; its result begins with the breaches found."""
+    """A story in which edge 0 is killed while a client writes; its result begins with the breaches."""
 
     async def story(fleet):
         return await kills.round_of(fleet, FOLDER, random.Random(seed), 0, MAX_DELAY)
@@ -25,7 +25,7 @@
     return story
 
 
-def breaches(play, seeds, **settings):
+def find_breaches(play, seeds, **settings):
     return [
         f"seed {seed}: {text}"
         for seed in seeds
@@ -34,30 +34,30 @@
 
 
 def test_no_answered_flush_is_lost(play):
-    assert breaches(play, range(40)) == []
+    assert find_breaches(play, range(40)) == []
 
 
 def test_no_answered_flush_is_lost_without_a_log(play):
-    assert breaches(play, range(40, 60), logs=False) == []
+    assert find_breaches(play, range(40, 60), logs=False) == []
 
 
-def test_a_flush_answered_too_early_is_found(play, monkeypatch):
+def test_a_flush_answered_too_early_is_detected(play, monkeypatch):
     async def return_at_once(self, *arguments):
         pass
 
     monkeypatch.setattr(WriteBack, "flush", return_at_once)
     monkeypatch.setattr(WriteBack, "wait_for_barrier", return_at_once)
-    assert breaches(play, range(10))
+    assert find_breaches(play, range(10))
 
 
-def test_recovered_writes_over_newer_ones_are_found(play, monkeypatch):
+def test_recovered_writes_over_newer_ones_are_detected(play, monkeypatch):
     monkeypatch.setattr(BatchWriter, "is_overwritten", lambda self, file, version, row: False)
-    assert any("after the return" in text for text in breaches(play, range(30)))
+    assert any("after the return" in text for text in find_breaches(play, range(30)))
 
 
-def test_barriers_without_effect_are_found(play, monkeypatch):
+def test_barriers_without_effect_are_detected(play, monkeypatch):
     monkeypatch.setattr(BufferedWrites, "set_barrier", lambda self, name: -1)
-    assert any("barrier" in text or "flushed" in text for text in breaches(play, range(20)))
+    assert any("barrier" in text or "flushed" in text for text in find_breaches(play, range(20)))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/buffer/test_discarded_writes.py
+++ b/tests/buffer/test_discarded_writes.py
@@ -1,9 +1,8 @@
-"""What becomes of writes that were acknowledged and are then discarded, over crashes of the edge.
+"""Acknowledged writes that are discarded later, over crashes of the edge.
 
-A client is told once that buffered writes of a file were discarded.  From the moment at which the log holds
-the record of it they must not come back, and everything that was acknowledged and not discarded must.  The
-record was never written: `WriteBack` called a method that did not exist, and the task of the batch ended with
-an AttributeError that nobody saw.  After a crash the log brought the discarded writes back.
+A client is told once that buffered writes of a file were discarded.  Once the log has a record of that, they
+must not come back after a crash; acknowledged writes that were not discarded must.  An unnoticed error in the
+batch's task once prevented the record, and a crash brought discarded writes back.
 """
 
 import asyncio
@@ -15,14 +14,14 @@
 from rushmux.sftp import packets as sftp
 from rushmux.standins.client import ConnectionClosedError, StatusError
 
-LOST = "written before and lost"
+LOSS_MESSAGE = "written before and lost"
 FAULT_TIME = 20  # seconds, far beyond `keep_ms`
 RECOVERY_TIME = 5
 
 
 @pytest.fixture
-def discards(raw):
-    """A deployment whose buffer discards after 0.6 s what it cannot flush."""
+def short_retention(raw):
+    """A buffer that discards what it cannot flush after 0.6 s."""
     raw["buffer"] = {"keep_ms": 600, "age_ms": 200}
     return raw["buffer"]
 
@@ -32,8 +31,8 @@
         await fleet.inject_fault(f"node{node}", "silent", seconds=FAULT_TIME)
 
 
-async def discarded(fleet, count):
-    """Waits until so many files' writes were discarded; AssertionError where they are not in time."""
+async def wait_for_discards(fleet, count):
+    """Waits until the writes of `count` files were discarded; fails if that takes too long."""
     for _ in range(FAULT_TIME * 5):
         if sum(row["event"] == "buffer.writes_discarded" for row in fleet.logs) >= count:
             return
@@ -41,65 +40,65 @@
     raise AssertionError(f"fewer than {count} files' writes were discarded")
 
 
-async def restart_after_fault(fleet):
-    """Kills edge 0, lets the nodes answer again, and waits until it has recovered."""
+async def restart_edge_after_fault(fleet):
+    """Kills edge 0, restarts it after the nodes' fault, and waits until it has recovered."""
     fleet.kill_edge(0)
     await fleet.sleep(FAULT_TIME + RECOVERY_TIME)
     await fleet.edge(0)
     await fleet.sleep(RECOVERY_TIME)
 
 
-async def told(client, files, handle):
-    """Whether a flush says that earlier writes were discarded."""
+async def is_told_of_loss(client, files, handle):
+    """Whether a flush reports that earlier writes were discarded."""
     try:
         await files.fsync(client, handle)
-    except StatusError as refusal:
-        return LOST in str(refusal)
+    except StatusError as error:
+        return LOSS_MESSAGE in str(error)
     return False
 
 
-async def begin_barrier(fleet, files):
-    """Has a session of its own set a barrier; a task of what its answer says of writes that were discarded.
+async def start_barrier(fleet, files):
+    """Sets a barrier; returns a task for the answer's text if it reports discarded writes, else "".
 
-    Later requests of the same session would wait for the answer.
+    It has its own session, in which later requests would wait for the answer.
     """
     client = await fleet.client(0)
 
     async def barrier():
         try:
             await files.set_barrier(client, "/heredia")
-        except StatusError as refusal:
-            return str(refusal) if LOST in str(refusal) else ""
+        except StatusError as error:
+            return str(error) if LOSS_MESSAGE in str(error) else ""
         except ConnectionClosedError:
             pass
         return ""
 
     answer = asyncio.ensure_future(barrier())
-    await fleet.sleep(0.01)  # it is set before whatever comes next
+    await fleet.sleep(0.01)  # the barrier is set before the caller goes on
     return answer
 
 
-def test_files_above_a_discarded_layer_are_logged_and_stay_discarded(play, discards, files):
+def test_files_above_a_discarded_layer_are_logged_and_stay_discarded(play, short_retention, files):
     async def story(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         below, above = [await files.open(one, f"/heredia/{name}") for name in ("below", "above")]
         await one.ask(sftp.Write, below, 0, b"below")
-        await silence_nodes(fleet)  # before the batch begins, so that none of it can reach a node
-        barrier = await begin_barrier(fleet, files)
+        await silence_nodes(fleet)  # before the batch starts, so that nothing reaches a node
+        barrier = await start_barrier(fleet, files)
         await one.ask(sftp.Write, above, 0, b"above")
-        await discarded(fleet, 2)
-        answers = ["/heredia/below" in await barrier]  # a client is told of a file once
-        answers += [await told(one, files, handle) for handle in (below, above)]
-        await restart_after_fault(fleet)
+        await wait_for_discards(fleet, 2)
+        answers = ["/heredia/below" in await barrier]  # a client is told of each file once
+        answers += [await is_told_of_loss(one, files, handle) for handle in (below, above)]
+        await restart_edge_after_fault(fleet)
         return answers, [await two.get(f"/heredia/{name}") for name in ("below", "above")]
 
     _, (answers, contents) = play(story)
     assert answers == [True, False, True] and contents == [b"", b""]
 
 
-def test_a_lower_layer_that_was_not_discarded_survives_a_crash(play, discards, files):
-    # The second file of the layer is in no batch when the first is discarded.
-    discards.update(batch_files=1, keep_ms=3_000)
+def test_a_lower_layer_that_was_not_discarded_survives_a_crash(play, short_retention, files):
+    # With one file per batch, the second file is in no batch when the first is discarded.
+    short_retention.update(batch_files=1, keep_ms=3_000)
 
     async def story(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
@@ -108,9 +107,9 @@
         await silence_nodes(fleet)
         await fleet.sleep(0.5)
         await one.ask(sftp.Write, second, 0, b"kept ")
-        barrier = await begin_barrier(fleet, files)
+        barrier = await start_barrier(fleet, files)
         await one.ask(sftp.Write, second, 5, b"gone ")
-        await discarded(fleet, 2)
+        await wait_for_discards(fleet, 2)
         fleet.kill_edge(0)
         await barrier
         await fleet.sleep(FAULT_TIME + RECOVERY_TIME)
@@ -121,29 +120,29 @@
     assert play(story)[1] == [b"", b"kept "]
 
 
-def test_a_file_written_again_after_its_writes_were_discarded_is_recovered(play, discards, files):
+def test_a_file_written_again_after_its_writes_were_discarded_is_recovered(play, short_retention, files):
     async def story(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"discarded")
         await silence_nodes(fleet)
-        await discarded(fleet, 1)
-        was_told = await told(one, files, handle)
+        await wait_for_discards(fleet, 1)
+        was_told_of_loss = await is_told_of_loss(one, files, handle)
         await fleet.sleep(FAULT_TIME)
         await one.ask(sftp.Write, handle, 9, b"-again")
         fleet.kill_edge(0)
         await fleet.edge(0)
         await fleet.sleep(RECOVERY_TIME)
-        return was_told, await two.get("/heredia/a")
+        return was_told_of_loss, await two.get("/heredia/a")
 
     assert play(story)[1] == (True, b"\0" * 9 + b"-again")
 
 
 def test_writes_after_the_edges_own_flush_are_recovered(play, files):
-    """An edge took its own flush for another edge's write, and dropped what was acknowledged after it.
+    """Guards against an edge taking its own flush for another edge's write and dropping later writes.
 
-    The base record of the log had the version that the handle had seen when it was opened, not that of the
-    edge's own last batch: `buffer.recovered_writes_overwritten` at a start though no other edge had written.
+    That happens if the log's base record has the version that the handle saw when it was opened, instead of
+    the version made by the edge's last batch.
     """
 
     async def story(fleet):
@@ -162,19 +161,19 @@
     assert not any(row["event"] == "buffer.recovered_writes_overwritten" for row in fleet.logs)
 
 
-def test_a_client_that_was_not_told_before_a_crash_is_told_after_it(play, discards, files):
+def test_a_client_that_was_not_told_before_a_crash_is_told_after_it(play, short_retention, files):
     async def story(fleet):
         one = await fleet.client(0)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"discarded")
         await silence_nodes(fleet)
-        await discarded(fleet, 1)
+        await wait_for_discards(fleet, 1)
         answers = []
         for _ in range(2):
-            await restart_after_fault(fleet)
+            await restart_edge_after_fault(fleet)
             client = await fleet.client(0)
             handle = await files.open(client, "/heredia/a")
-            answers += [await told(client, files, handle) for _ in range(2)]
+            answers += [await is_told_of_loss(client, files, handle) for _ in range(2)]
             await client.ask(sftp.Write, handle, 20, b"new")
             await files.fsync(client, handle)
         return answers
@@ -182,30 +181,30 @@
     assert play(story)[1] == [True, False, False, False]
 
 
-def test_a_client_that_was_told_is_not_told_again_after_a_later_crash(play, discards, files):
+def test_a_client_that_was_told_is_not_told_again_after_a_later_crash(play, short_retention, files):
     async def story(fleet):
         one = await fleet.client(0)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"discarded")
         await silence_nodes(fleet)
-        await discarded(fleet, 1)
-        was_told = await told(one, files, handle)
+        await wait_for_discards(fleet, 1)
+        was_told_of_loss = await is_told_of_loss(one, files, handle)
         await fleet.sleep(2)
-        await restart_after_fault(fleet)  # nothing else was written to the log since
+        await restart_edge_after_fault(fleet)  # no other record was logged since
         client = await fleet.client(0)
-        return was_told, await told(client, files, await files.open(client, "/heredia/a"))
+        return was_told_of_loss, await is_told_of_loss(client, files, await files.open(client, "/heredia/a"))
 
     assert play(story)[1] == (True, False)
 
 
 def test_writes_above_a_file_that_others_overwrote_stay_discarded(play, files):
-    """Recovery finds one file overwritten and discards what lies behind the next barrier; then it crashes."""
+    """Recovery finds a file overwritten and discards the writes after the next barrier; then it crashes."""
 
     async def story(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         below, above = [await files.open(one, f"/heredia/{name}") for name in ("below", "above")]
         await one.ask(sftp.Write, below, 0, b"below")
-        barrier = await begin_barrier(fleet, files)
+        barrier = await start_barrier(fleet, files)
         await one.ask(sftp.Write, above, 0, b"above")
         fleet.kill_edge(0)
         await barrier
@@ -213,11 +212,11 @@
         await two.ask(sftp.Write, handle, 0, b"other")
         await two.ask(sftp.Close, handle)
         await fleet.edge(0)
-        await discarded(fleet, 2)
+        await wait_for_discards(fleet, 2)
         one = await fleet.client(0)
         handles = [await files.open(one, f"/heredia/{name}") for name in ("below", "above")]
-        answers = [await told(one, files, handle) for handle in handles]
-        fleet.kill_edge(0)  # before anything else is flushed, which would begin a new epoch of the log
+        answers = [await is_told_of_loss(one, files, handle) for handle in handles]
+        fleet.kill_edge(0)  # before another flush, which would begin a new epoch of the log
         await two.ask(sftp.Remove, "/heredia/below")
         await fleet.edge(0)
         await fleet.sleep(RECOVERY_TIME)
@@ -232,10 +231,10 @@
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"data")
         await two.ask(sftp.Remove, "/heredia/a")
-        return await told(one, files, handle)
+        return await is_told_of_loss(one, files, handle)
 
-    fleet, was_told = play(story)
-    assert was_told
+    fleet, was_told_of_loss = play(story)
+    assert was_told_of_loss
     assert [row["reason"] for row in fleet.logs if row["event"] == "buffer.writes_discarded"] == [
         "/heredia/a: the file was removed"
     ]
@@ -243,10 +242,10 @@
 
 @pytest.mark.parametrize("partial_append", [False, True])
 @pytest.mark.parametrize("crash", [False, True])
-def test_what_the_disk_does_not_record_as_discarded_is_not_discarded(
-    play, discards, files, crash, partial_append
+def test_writes_are_not_discarded_while_the_disk_cannot_record_it(
+    play, short_retention, files, crash, partial_append
 ):
-    """A client told of a loss that a crash undoes would be told wrong: the writes are kept and retried."""
+    """Without the record a crash could undo a loss that a client was told of: the writes are retried."""
 
     async def story(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
@@ -256,42 +255,44 @@
         disk = fleet.log_disks[0]
         disk.append_errno, disk.partial_append = errno.ENOSPC, partial_append
         await fleet.sleep(FAULT_TIME / 2)
-        was_told = await told(one, files, handle)
+        was_told_of_loss = await is_told_of_loss(one, files, handle)
         if crash:
             disk.append_errno = None
-            await restart_after_fault(fleet)
+            await restart_edge_after_fault(fleet)
         else:
             await fleet.sleep(FAULT_TIME + RECOVERY_TIME)
-        return was_told, await two.get("/heredia/a")
+        return was_told_of_loss, await two.get("/heredia/a")
 
     assert play(story)[1] == (False, b"kept")
 
 
 class CrashingDisk(SimulatedSegments):
-    """Kills the edge at one append, of which it takes a part."""
+    """Kills the edge at one append, after a part of it was written."""
 
-    def __init__(self, crash_at, taken, kill):
+    def __init__(self, crash_at, written_share, kill):
         super().__init__()
-        self.appends_left, self.taken, self.kill = crash_at, taken, kill
+        self.appends_left, self.written_share, self.kill = crash_at, written_share, kill
 
     def append(self, name, data):
         self.appends_left -= 1
         if self.appends_left:
             super().append(name, data)
             return
-        super().append(name, data[: int(len(data) * self.taken)])
+        super().append(name, data[: int(len(data) * self.written_share)])
         self.kill()
         raise asyncio.CancelledError
 
 
-@pytest.mark.parametrize("taken", [0, 0.4, 0.8, 1])
+@pytest.mark.parametrize("written_share", [0, 0.4, 0.8, 1])
 @pytest.mark.parametrize("crash_at", range(1, 7))
-def test_a_crash_at_any_record_undoes_nothing_that_a_client_was_told(play, discards, files, crash_at, taken):
+def test_a_crash_at_any_record_undoes_nothing_that_a_client_was_told(
+    play, short_retention, files, crash_at, written_share
+):
     names = ("below", "other", "above")
 
     async def story(fleet):
         fleet.kill_edge(0)
-        fleet.log_disks[0] = CrashingDisk(crash_at, taken, lambda: fleet.kill_edge(0))
+        fleet.log_disks[0] = CrashingDisk(crash_at, written_share, lambda: fleet.kill_edge(0))
         await fleet.edge(0)
         await fleet.sleep(RECOVERY_TIME)
         one, two = await fleet.client(0), await fleet.client(1)
@@ -302,11 +303,11 @@
             for name in names:
                 if name == "above":
                     await silence_nodes(fleet)
-                    barrier = await begin_barrier(fleet, files)
+                    barrier = await start_barrier(fleet, files)
                 await one.ask(sftp.Write, handles[name], 0, name.encode())
                 acknowledged.add(name)
             await fleet.sleep(3)
-            lost |= {name for name in names if await told(one, files, handles[name])}
+            lost |= {name for name in names if await is_told_of_loss(one, files, handles[name])}
             fleet.kill_edge(0)
         except ConnectionClosedError:
             pass
@@ -320,7 +321,7 @@
         one = await fleet.client(0)
         for name in names:
             handle = await files.open(one, f"/heredia/{name}")
-            if await told(one, files, handle):
+            if await is_told_of_loss(one, files, handle):
                 lost.add(name)
         return acknowledged, lost, {name: await two.get(f"/heredia/{name}") for name in names}
 
--- a/tests/buffer/test_disk.py
+++ b/tests/buffer/test_disk.py
@@ -1,4 +1,4 @@
-"""A folder of segments on a real disk."""
+"""Log segments in a folder on disk."""
 
 import pytest
 
--- a/tests/buffer/test_extents.py
+++ b/tests/buffer/test_extents.py
@@ -1,4 +1,4 @@
-"""The extent index against a plain array of bytes."""
+"""The extent index, compared with a plain array of bytes."""
 
 from itertools import pairwise
 
@@ -17,14 +17,14 @@
 
 @pytest.fixture(autouse=True, scope="module")
 def short_chunks():
-    """Few extents fill a chunk, so that splits and insertions over several chunks are common."""
+    """Makes chunks small, so that splits and insertions across chunks are common."""
     before, extents.MAX_CHUNK = extents.MAX_CHUNK, 4
     yield
     extents.MAX_CHUNK = before
 
 
 def written(writes, index_type=ExtentIndex):
-    """An index after some writes, and for each byte of the file the write that it comes from."""
+    """An index after some writes, and the expected newest write of each byte of the file."""
     index, expected = index_type(), [None] * (SIZE + MAX_WRITE)
     for sequence, (start, length) in enumerate(writes):
         index.insert(start, bytes([sequence % 251]) * length, sequence)
@@ -33,7 +33,7 @@
 
 
 def sequences(index):
-    """For each byte of the file the write that the index has it from."""
+    """The write of each byte of the file according to the index."""
     found, last_end = [None] * (SIZE + MAX_WRITE), 0
     for extent in index:
         assert extent.start >= last_end and extent.end - extent.start == len(extent.data)
--- a/tests/buffer/test_flush_policy.py
+++ b/tests/buffer/test_flush_policy.py
@@ -1,4 +1,4 @@
-"""Decisions of the flush policy, on a clock of the test's own."""
+"""Decisions of the flush policy, on a simulated clock."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     max_batches=2,
     background_share=0.5,
 )
-BACKGROUND_RATE = 5.0  # units a second
+BACKGROUND_RATE = 5.0  # units per second
 
 
 @pytest.fixture
@@ -52,7 +52,7 @@
     assert policy.admit("f", 500, 0.0) == Admission.ADMIT and policy.admit("f", 501, 0.0) == Admission.WAIT
     add("b", 1_400, folder="g")
     assert policy.admit("h", 101, 0.0) == Admission.WAIT and policy.admit("h", 100, 0.0) == Admission.ADMIT
-    add("a", 1_500, start=0)  # over the same bytes: nothing is added
+    add("a", 1_500, start=0)  # overwrites the same bytes: nothing is added
     assert writes.byte_count == 2_900
 
 
@@ -93,7 +93,7 @@
         if batch is not None:
             taken += 1
             policy.on_batch_committed(batch, now, {})
-    # Five units a second for ten seconds, one or two for a batch, and one second saved up.
+    # Five units per second for ten seconds, one or two per batch, and one second saved up.
     assert 25 <= taken <= 56
 
 
@@ -121,7 +121,7 @@
     add("b")
     first, _ = policy.next_batch(0.0)
     assert file_ids(first) == ["a"] and first.barrier == barrier
-    assert policy.next_batch(0.0)[0] is None  # one batch for a folder
+    assert policy.next_batch(0.0)[0] is None  # one batch per folder
     policy.on_batch_failed(first, 0.0, "no")
     retried, _ = policy.next_batch(0.2)
     assert (
@@ -134,7 +134,7 @@
     assert sorted(file_ids(policy.next_batch(3.0)[0])) == ["a", "b"]
 
 
-def test_writes_that_come_during_a_flush_are_not_in_its_batch(writes, policy, add):
+def test_writes_that_arrive_during_a_flush_are_not_in_its_batch(writes, policy, add):
     file = add("a")
     sequence = writes.request_flush(file)
     batch, _ = policy.next_batch(0.0)
@@ -198,7 +198,7 @@
     )
 
 
-def test_a_flush_that_would_take_too_long_is_foreseen(writes, policy, add):
+def test_a_flush_that_would_take_too_long_is_predicted(writes, policy, add):
     assert policy.can_flush_within(0.01)
     for _ in range(6):
         add("a")
--- a/tests/buffer/test_journal.py
+++ b/tests/buffer/test_journal.py
@@ -1,4 +1,4 @@
-"""The log's records: complete, torn and damaged segments."""
+"""The log's record format: complete, torn and damaged segments."""
 
 import zlib
 
@@ -22,7 +22,7 @@
     return ends
 
 
-def test_records_come_back():
+def test_records_are_decoded_as_encoded():
     assert journal.decode_segment(SEGMENT) == journal.SegmentContents(RECORDS, False, None)
 
 
@@ -38,7 +38,7 @@
         journal.EpochRecord(7),
     ],
 )
-def test_each_kind_of_record_comes_back(record):
+def test_each_kind_of_record_is_decoded_as_encoded(record):
     contents = journal.decode_segment(journal.HEADER + journal.encode(record))
     assert contents.records == [record] and type(contents.records[0]) is type(record)
 
--- a/tests/buffer/test_log_faults.py
+++ b/tests/buffer/test_log_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the write-ahead log's disk, and recovery from a damaged log, on simulated fleets."""
+"""Disk faults of the write-ahead log, and recovery from a damaged log, on simulated fleets."""
 
 import errno
 
@@ -9,12 +9,12 @@
 
 
 def cut_off(segment):
-    """Ends a segment within its last record, as a crash does."""
+    """Cuts a segment off within its last record, as a crash does."""
     del segment[-3:]
 
 
 def overwrite(segment):
-    """Damages a record that has complete ones behind it."""
+    """Damages a record that complete ones follow."""
     segment[segment.index(b"first")] ^= 1
 
 
@@ -28,7 +28,7 @@
         disk.append_errno, disk.partial_append = fault, half
         await one.ask(sftp.Write, handle, 6, b"-not")
         await one.ask(sftp.Write, handle, 10, b"-through")
-        assert buffered_bytes(fleet) == 0  # at the latest the next write bypasses the buffer
+        assert buffered_bytes(fleet) == 0  # by now writes bypass the buffer
         fleet.kill_edge(0)
         return await two.get("/heredia/a")
 
@@ -79,7 +79,7 @@
         two = await fleet.client(1)
         return await two.get("/heredia/a")
 
-    assert play(story)[1] == b"from two"  # the log brought back what was not flushed
+    assert play(story)[1] == b"from two"  # the unflushed write was recovered from the log
 
 
 def test_discarded_writes_do_not_come_back_after_a_crash(play, raw, files, buffered_bytes):
--- a/tests/buffer/test_node_faults.py
+++ b/tests/buffer/test_node_faults.py
@@ -15,28 +15,28 @@
 
 
 @pytest.mark.parametrize("kind", ["silent", "stuck", "disk", "errors"])
-def test_a_flush_during_a_node_fault_is_answered_truly(play, kind, files):
+def test_a_flush_during_a_node_fault_is_answered_correctly(play, kind, files):
     async def story(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"careful" * 30_000)
         for node in (HOME, (HOME + 1) % 4):
             await fleet.inject_fault(f"node{node}", kind, 1.0, 6)
-        begun = fleet.loop.time()
+        started_at = fleet.loop.time()
         try:
             await files.fsync(one, handle)
             answer = "ok"
-        except StatusError as refusal:
-            answer = refusal.status.message.split(":")[0]
-        took = fleet.loop.time() - begun
+        except StatusError as error:
+            answer = error.status.message.split(":")[0]
+        elapsed = fleet.loop.time() - started_at
         if answer == "ok":
             fleet.kill_edge(0)
         else:
-            await fleet.sleep(12)  # the flush goes on and succeeds when the fault is over
-        return answer, took, await two.get("/heredia/a")
+            await fleet.sleep(12)  # the flush goes on, and succeeds after the fault
+        return answer, elapsed, await two.get("/heredia/a")
 
-    _, (answer, took, data) = play(story)
-    assert data == b"careful" * 30_000 and took < 7 and answer in ("ok", "terminated")
+    _, (answer, elapsed, data) = play(story)
+    assert data == b"careful" * 30_000 and elapsed < 7 and answer in ("ok", "terminated")
 
 
 def test_a_node_is_drained_and_replaced_during_a_flush(play, files):
@@ -51,17 +51,17 @@
         await fleet.sleep(0.01)
         await fleet.replace(other, "new")
         await flushing
-        await fleet.sleep(4)  # until the endpoint list has the new one
-        return [await reads_truly(two, at) for at in range(20)]
+        await fleet.sleep(4)  # until the endpoint list has the new node
+        return [await reads_own_bytes(two, at) for at in range(20)]
 
-    async def reads_truly(client, at):
+    async def reads_own_bytes(client, at):
         handle = await client.open("/heredia/a", sftp.READ)
         try:
             return (await client.ask(sftp.Read, handle, at * 300_000, 1_000)).data == b"p" * 1_000
-        except StatusError as refusal:
-            return "not on its node" in refusal.status.message
+        except StatusError as error:
+            return "not on its node" in error.status.message
 
-    # Data of the node that an empty one replaced is lost: a read of it fails, and never gives wrong bytes.
+    # The data of the replaced node is lost: reading it fails, and never returns wrong bytes.
     assert all(play(story)[1])
 
 
@@ -93,15 +93,15 @@
         flushing = asyncio.ensure_future(files.fsync(one, handle))
         await fleet.sleep(0.004)
         fleet.edges[0].process.pause(3)
-        begun = fleet.loop.time()
+        started_at = fleet.loop.time()
         await flushing
-        return fleet.loop.time() - begun, await far.get("/heredia/a")
+        return fleet.loop.time() - started_at, await far.get("/heredia/a")
 
-    _, (took, data) = play(story)
-    assert 2.9 < took < 7 and data == b"paused" * 10_000
+    _, (elapsed, data) = play(story)
+    assert 2.9 < elapsed < 7 and data == b"paused" * 10_000
 
 
-def test_a_day_of_faults_keeps_every_rule(play, raw):
+def test_a_day_of_faults_breaks_no_rule(play, raw):
     async def story(fleet):
         await scenario.play(fleet, script.load("bad"), scenario.Load(part=0.4), 5)
 
--- a/tests/buffer/test_process_crashes.py
+++ b/tests/buffer/test_process_crashes.py
@@ -1,4 +1,4 @@
-"""Crashes of real edge processes: tens here, hundreds by `rushmux kills --real`."""
+"""Crashes of real edge processes; `rushmux kills --real` runs more of them."""
 
 import subprocess
 import sys
--- a/tests/buffer/test_write_histories.py
+++ b/tests/buffer/test_write_histories.py
@@ -1,6 +1,6 @@
-"""Drawn histories: each acknowledged write is stored or told as lost, and none told as lost comes back.
+"""Random histories: each acknowledged write is stored or reported as lost, and lost ones stay lost.
 
-More seeds, and a single one again: `python -m pytest tests/buffer/test_write_histories.py --seeds 0:200`.
+For other seeds: `python -m pytest tests/buffer/test_write_histories.py --seeds 0:200`.
 """
 
 import random
@@ -15,7 +15,7 @@
 DEFAULT_SEEDS = range(24)
 
 
-def breaches_of(play, raw, seed):
+def find_breaches(play, raw, seed):
     raw["buffer"] = dict(write_history.BUFFER)
 
     async def story(fleet):
@@ -31,29 +31,29 @@
         metafunc.parametrize("drawn_seed", seeds)
 
 
-def test_acknowledged_writes_are_stored_or_told_as_lost(play, raw, drawn_seed):
-    breaches = breaches_of(play, raw, drawn_seed)
+def test_acknowledged_writes_are_stored_or_reported_as_lost(play, raw, drawn_seed):
+    breaches = find_breaches(play, raw, drawn_seed)
     again = f"python -m pytest tests/buffer/test_write_histories.py --seeds {drawn_seed}:{drawn_seed + 1}"
     assert breaches == [], again
 
 
 @pytest.mark.parametrize(
-    "part, defect",
+    "owner, replacements",
     [
         (WriteAheadLog, {"commit_discarded": lambda self, discards: True}),
         (RecoveredFiles, {"_on_discarded": lambda self, record: None}),
         (RecoveredFiles, {"_on_notified": lambda self, record: self.discards.clear()}),
         (BatchWriter, {"is_overwritten": staticmethod(lambda file, version, row: file.recovered)}),
     ],
-    ids=["unrecorded", "ignored discards", "all taken for told", "always overwritten"],
+    ids=["unrecorded", "ignored discards", "all taken for notified", "always overwritten"],
 )
-def test_a_buffer_with_a_defect_is_found_out(play, raw, monkeypatch, part, defect):
-    for method, replacement in defect.items():
-        monkeypatch.setattr(part, method, replacement)
+def test_a_buffer_with_a_defect_is_detected(play, raw, monkeypatch, owner, replacements):
+    for method, replacement in replacements.items():
+        monkeypatch.setattr(owner, method, replacement)
 
     def is_detected(seed):
         try:
-            return bool(breaches_of(play, raw, seed))
+            return bool(find_breaches(play, raw, seed))
         except AssertionError:
             return True
 
--- a/tests/buffer/test_writeback.py
+++ b/tests/buffer/test_writeback.py
@@ -1,4 +1,4 @@
-"""What clients see of a write-back buffer, on simulated fleets."""
+"""The write-back buffer as clients see it, on simulated fleets."""
 
 import asyncio
 
@@ -17,13 +17,13 @@
     async def story(fleet):
         one, two = await fleet.client(0), await fleet.client(0)
         handle = await files.open(one, "/heredia/a")
-        begun = fleet.loop.time()
+        started_at = fleet.loop.time()
         await one.ask(sftp.Write, handle, 10, b"held")
-        took = fleet.loop.time() - begun
+        elapsed = fleet.loop.time() - started_at
         assert buffered_bytes(fleet) == 4
         assert (await one.ask(sftp.Read, handle, 0, 100)).data == bytes(10) + b"held"
         assert (await two.ask(sftp.Stat, "/heredia/a")).attributes.size == 14
-        return took
+        return elapsed
 
     assert play(story)[1] < 0.002
 
@@ -109,7 +109,7 @@
     assert play(story)[1] == b""
 
 
-def test_writers_wait_for_a_full_buffer_which_keeps_to_its_limits(play, raw, buffered_bytes):
+def test_writers_wait_while_the_buffer_is_full_and_it_keeps_its_limits(play, raw, buffered_bytes):
     raw["buffer"] = {"edge_bytes": 2 << 20, "folder_bytes": 1 << 20, "log_bytes": 16 << 20}
 
     async def story(fleet):
@@ -153,7 +153,7 @@
             .database.execute("select value from rows where key like 'b/%'")
             .fetchall()
         )
-        await fleet.sleep(5)  # until the garbage collector has dropped unnamed objects
+        await fleet.sleep(5)  # until the garbage collector has dropped unreferenced objects
         return max(len(layout.unpack_block(value)) for (value,) in rows), await far.get("/heredia/a")
 
     fleet, (extents, data) = play(story)
@@ -165,7 +165,7 @@
     async def story(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handles = [await files.open(client, "/heredia/a") for client in (one, two)]
-        for at in range(10):  # each its own half of every range, then one place for both
+        for at in range(10):  # each writes its half of every range, then both write one place
             await one.ask(sftp.Write, handles[0], at * 1_000, b"1" * 500)
             await two.ask(sftp.Write, handles[1], at * 1_000 + 500, b"2" * 500)
         await one.ask(sftp.Write, handles[0], 20_000, b"one")
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Pauses after failures in a row: bounded, and the same as before for the first failures of a seed."""
+"""Backoff pauses are bounded, and a seed gives the same first pauses as in earlier versions."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 
 def test_a_batch_that_fails_for_days_is_retried_after_the_longest_pause():
-    """A node that is away for days: `2 ** (failures - 1)` overflowed at the 1,025th failure of a folder."""
+    """Guards against `2 ** (failures - 1)` overflowing at the 1,025th failure while a node is away."""
     writes = BufferedWrites(lambda folder: 5.0)
     policy = FlushPolicy(writes, BufferLimits(max_retention=float("inf")), lambda size: 1.0)
     file = writes.file("f", "a", "/f/a")
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""What earlier versions stored is read as it was meant, and written again byte for byte."""
+"""Data stored by earlier versions is read correctly, and written again byte for byte."""
 
 import base64
 import json
@@ -22,8 +22,8 @@
 from rushmux.standins.store import Store as NodeStore
 
 STORED = Path(__file__).with_name("data") / "stored"
-SAVED_AT = 1_764_000_000.25
-STORY = (34.0, 2, 2)  # length, steps and expectations
+SAVE_TIME = 1_764_000_000.25
+STORY_SIZES = (34.0, 2, 2)  # length, steps and expectations
 CARIBE, HEREDIA = "caribe", "heredia"
 
 
@@ -36,10 +36,10 @@
 def stored(tmp_path):
     """A copy of a recorded file, which may be written to."""
 
-    def copied(name):
+    def copy_file(name):
         return Path(shutil.copy(STORED / name, tmp_path / name))
 
-    return copied
+    return copy_file
 
 
 def ready(**fields):
@@ -55,7 +55,7 @@
     return raft.Ready(**{**empty, **fields})
 
 
-def order(text):
+def command_entry(text):
     return raft.Entry(3, raft.EntryKind.COMMAND, text.encode())
 
 
@@ -69,7 +69,7 @@
     assert log.persistent.snapshot == raft.Snapshot(0, 0, ("a/77aa", "b/1"), b"")
     assert log.persistent.entries == (
         raft.Entry(2, raft.EntryKind.NOOP, b""),
-        order(UNDRAIN),
+        command_entry(UNDRAIN),
         raft.Entry(3, raft.EntryKind.CONFIGURATION, ("a/77aa",)),
     )
     log.release()
@@ -77,7 +77,7 @@
 
 def test_a_torn_planners_log_loses_its_last_record_only(stored):
     log = RaftStorage(stored("planner-torn.log"), lambda: "other")
-    assert log.persistent.entries == (raft.Entry(2, raft.EntryKind.NOOP, b""), order(UNDRAIN))
+    assert log.persistent.entries == (raft.Entry(2, raft.EntryKind.NOOP, b""), command_entry(UNDRAIN))
     log.release()
 
 
@@ -90,7 +90,7 @@
     )
     log.write(ready(hard_state=raft.HardState(3, "b/1"), entries=((1, first), (2, second))))
     members = raft.Entry(3, raft.EntryKind.CONFIGURATION, ("a/77aa",))
-    log.write(ready(truncate_from=2, entries=((2, order(UNDRAIN)), (3, members))))
+    log.write(ready(truncate_from=2, entries=((2, command_entry(UNDRAIN)), (3, members))))
     log.release()
     assert (tmp_path / "planner.log").read_bytes() == (STORED / "planner.log").read_bytes()
 
@@ -109,24 +109,24 @@
     log.release()
 
 
-def test_a_snapshot_of_the_policy_is_restored_whole_and_written_as_before():
+def test_a_snapshot_of_the_policy_is_restored_completely_and_written_as_before():
     recorded = (STORED / "register-snapshot.json").read_bytes()
-    register = policy.PolicyStateMachine.from_snapshot(recorded)
+    state_machine = policy.PolicyStateMachine.from_snapshot(recorded)
     assert (
-        register.members == ("edge0", "edge1")
-        and register.last_version == 3
-        and register.proposed_by == "ana"
+        state_machine.members == ("edge0", "edge1")
+        and state_machine.last_version == 3
+        and state_machine.proposed_by == "ana"
     )
-    assert register.active == policy.Policy(2, '{"a":2}', ((CARIBE, 20.0, 40.0), (HEREDIA, 0, 0)))
-    assert register.staged == policy.Policy(3, '{"a":3}', ((CARIBE, 30.0, 60.0), (HEREDIA, 10.0, 20.0)))
-    assert register.member_versions == {"edge0": 2, "edge1": 1} and register.fencing_floor == 2
-    assert list(register.drained_nodes) == ["node1"] and list(register.forgotten) == ["edge1"]
-    assert [(past.version, past.outcome, past.proposed_by) for past in register.history] == [
+    assert state_machine.active == policy.Policy(2, '{"a":2}', ((CARIBE, 20.0, 40.0), (HEREDIA, 0, 0)))
+    assert state_machine.staged == policy.Policy(3, '{"a":3}', ((CARIBE, 30.0, 60.0), (HEREDIA, 10.0, 20.0)))
+    assert state_machine.member_versions == {"edge0": 2, "edge1": 1} and state_machine.fencing_floor == 2
+    assert list(state_machine.drained_nodes) == ["node1"] and list(state_machine.forgotten) == ["edge1"]
+    assert [(past.version, past.outcome, past.proposed_by) for past in state_machine.history] == [
         (1, "decided", "ana"),
         (2, "decided", "ana"),
     ]
-    assert list(register.past_policies) == [1] and list(register.limits_by_version) == [2]
-    assert register.to_snapshot() == recorded
+    assert list(state_machine.past_policies) == [1] and list(state_machine.limits_by_version) == [2]
+    assert state_machine.to_snapshot() == recorded
 
 
 def test_the_membership_store_holds_its_rows_and_version(stored):
@@ -143,7 +143,7 @@
 
 
 def test_the_edges_cached_endpoint_list_is_read_with_its_nodes_ages(stored):
-    listing = EndpointCache(stored("edge-list.bin"), lambda: SAVED_AT + 2, SilentLog()).load()
+    listing = EndpointCache(stored("edge-list.bin"), lambda: SAVE_TIME + 2, SilentLog()).load()
     assert (listing.version, listing.whole, listing.cells) == (10, True, 4)
     (entry,) = listing.entries
     assert (entry.node, entry.host, entry.condition, entry.age) == ("node1", "10.0.0.2", "draining", 20_070)
@@ -161,39 +161,39 @@
         start="s2",
         age=70,
     )
-    EndpointCache(path, lambda: SAVED_AT, SilentLog()).update(
+    EndpointCache(path, lambda: SAVE_TIME, SilentLog()).update(
         messages.Listing(version=10, whole=True, cells=4, entries=[entry])
     )
     assert path.read_bytes() == (STORED / "edge-list.bin").read_bytes()
 
 
-def test_the_edges_kept_policies_are_read_and_written_as_before(stored, tmp_path):
-    force, staged = PolicyStore(stored("edge-policy.json")).load()
-    assert force == policy.Policy(2, '{"a":2}', ((CARIBE, 20.0, 40.0), (HEREDIA, 0, 0)))
+def test_the_edges_stored_policies_are_read_and_written_as_before(stored, tmp_path):
+    active, staged = PolicyStore(stored("edge-policy.json")).load()
+    assert active == policy.Policy(2, '{"a":2}', ((CARIBE, 20.0, 40.0), (HEREDIA, 0, 0)))
     assert staged == policy.Policy(3, '{"a":3}', ((CARIBE, 30.0, 60.0), (HEREDIA, 10.0, 20.0)))
-    PolicyStore(tmp_path / "again.json").save(force, staged)
+    PolicyStore(tmp_path / "again.json").save(active, staged)
     assert (tmp_path / "again.json").read_bytes() == (STORED / "edge-policy.json").read_bytes()
 
 
 def test_a_segment_of_the_buffers_log_holds_the_writes_that_no_node_has():
     recorded = (STORED / "buffer-00000001-000001.log").read_bytes()
-    found = journal.decode_segment(recorded)
-    assert not found.torn and found.corrupt_at is None
-    assert [record.data for record in found.records if isinstance(record, journal.WriteRecord)] == [
+    contents = journal.decode_segment(recorded)
+    assert not contents.torn and contents.corrupt_at is None
+    assert [record.data for record in contents.records if isinstance(record, journal.WriteRecord)] == [
         b"held",
         b"held too",
     ]
-    again = b"".join(map(journal.encode, found.records))
-    assert journal.HEADER + again == recorded
+    reencoded = b"".join(map(journal.encode, contents.records))
+    assert journal.HEADER + reencoded == recorded
 
 
-def test_a_nodes_store_knows_its_object_row_mark_and_floor(stored):
+def test_a_nodes_store_holds_its_object_row_mark_and_fencing_floor(stored):
     store = NodeStore(str(stored("node.db")), 2, 1 << 20, 30.0)
     read = store.read(messages.ReadObject(object="o1", offset=0, length=9))
     assert read.data == b"data" and store.fencing_floor == 2
     assert tuple(store.row(HEREDIA, "d/0/a")) == ("d/0/a", b'["f1"]', 1)
-    again = store.change(HEREDIA, messages.Change(mark="m1"), 6.0)
-    assert [(row.key, row.version) for row in again.rows] == [("d/0/a", 1)]
+    repeated = store.change(HEREDIA, messages.Change(mark="m1"), 6.0)
+    assert [(row.key, row.version) for row in repeated.rows] == [("d/0/a", 1)]
     store.close()
 
 
@@ -203,15 +203,15 @@
     store.close()
 
 
-def test_a_deployment_file_states_the_same_terms():
-    made = deployment.load(STORED / "deployment.json")
-    lane = made.settings.request_classes["lectura"]
-    assert (lane.latency_objective, lane.idempotency, made.settings.round_interval) == (
+def test_a_deployment_file_is_read_with_the_same_settings():
+    loaded = deployment.load(STORED / "deployment.json")
+    request_class = loaded.settings.request_classes["lectura"]
+    assert (request_class.latency_objective, request_class.idempotency, loaded.settings.round_interval) == (
         4_000,
         "replayable",
         50,
     )
-    keyed = made.settings.request_classes["registro"]
+    keyed = loaded.settings.request_classes["registro"]
     assert (keyed.idempotency, keyed.dedup_scope, keyed.dedup_window, keyed.ordered) == (
         "referenced",
         "cell",
@@ -227,5 +227,5 @@
     assert day.events[2] == script.Event(3.5, "replace", "node0", "node0b")
     assert day.events[7] == script.Event(9.0, "surge", "bodega-sur", "", 6.0, 3.0)
     story = fault_scenario.load(STORED / "story.txt")
-    assert (story.sizes["length"], len(story.steps), len(story.expectations)) == STORY
+    assert (story.sizes["length"], len(story.steps), len(story.expectations)) == STORY_SIZES
     assert experiment.load(STORED / "experiment.json")["variants"]
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -1,7 +1,7 @@
-"""Long-lived tasks that fail: each is logged with its cause, and started again or ends its program.
+"""Long-lived tasks that fail are logged with their cause, and are restarted or end the program.
 
-`PlannerClient.run` and `ReplicatedLog._run_ticks` ended with errors that nobody looked at: an edge heard of
-no change any more, and a planner led no more, until somebody restarted them.
+Guards against unnoticed failures of `PlannerClient.run`, after which an edge received no changes, and of
+`ReplicatedLog._run_ticks`, after which a planner no longer led.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class TestError(Exception):
-    """What a task of these tests fails with."""
+    """The error with which tasks of these tests fail."""
 
     __test__ = False
 
@@ -34,7 +34,7 @@
 
 
 def failing(times, then):
-    """A task that fails so many times and then calls a function."""
+    """A task function that fails the given number of times and then calls `then`."""
     left = [times]
 
     async def run_task():
@@ -46,7 +46,7 @@
     return run_task
 
 
-def test_a_task_that_fails_is_logged_and_started_again_with_growing_pauses():
+def test_a_task_that_fails_is_logged_and_restarted_with_growing_pauses():
     rows, done = [], []
 
     async def main(loop):
@@ -62,23 +62,23 @@
     assert done == [pytest.approx(sum(pauses))]
 
 
-def test_the_pause_is_short_again_after_a_task_ran_well():
+def test_the_pause_is_short_again_after_a_task_was_stable():
     rows = []
 
     async def main(loop):
-        async def run_well():
+        async def fail_after_stable_run():
             await asyncio.sleep(STABLE_TIME + 1)
             raise TestError
 
-        Supervisor(log.to_list(rows)).run_restarting("part", run_well)
+        Supervisor(log.to_list(rows)).run_restarting("part", fail_after_stable_run)
         await asyncio.sleep(5 * STABLE_TIME)
 
     run(main, 1)
     assert [row["retry_in"] for row in rows] == [0.2] * 4
 
 
-def test_an_essential_task_that_fails_ends_its_program_with_a_code(monkeypatch, capsys):
-    """Through `serve`, as the planner's command runs."""
+def test_an_essential_task_that_fails_ends_its_program_with_an_exit_code(monkeypatch, capsys):
+    """Runs the server through `serve`, as the planner's command does."""
     rows, closed = [], []
 
     class Server:
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize(
-    "part, method, task",
+    "component, method, task",
     [
         (PolicyClient, "_on_grant_message", "planner_client"),
         (PolicyClient, "_apply", "policy_client"),
@@ -128,23 +128,23 @@
     ],
     ids=lambda value: getattr(value, "__name__", value),
 )
-def test_a_part_that_failed_for_a_while_serves_again(tmp_path, monkeypatch, part, method, task):
-    """For five seconds a handler fails in all programs; ten seconds later the fleet goes by a new policy."""
+def test_a_component_that_failed_for_a_while_serves_again(tmp_path, monkeypatch, component, method, task):
+    """A handler fails in all programs for five seconds; afterwards the fleet still takes up a new policy."""
     deployment = build(raw_deployment())
-    working = getattr(part, method)
+    original = getattr(component, method)
 
     async def main(loop):
         fleet = policy_fleet.PolicyFleet(loop, deployment, 5, tmp_path)
         await fleet.up(1, 2)
         failing_until = loop.time() + 5
 
-        def fails(self, *values):
+        def fail_for_a_while(self, *values):
             if loop.time() < failing_until:
                 raise TestError
-            return working(self, *values)
+            return original(self, *values)
 
-        monkeypatch.setattr(part, method, fails)
-        for edge in fleet.edges.values():  # the connections to planners know the handlers by themselves
+        monkeypatch.setattr(component, method, fail_for_a_while)
+        for edge in fleet.edges.values():  # connections to planners hold their own reference to the handler
             client = edge.program.planner_client
             client.on_policy_grant = edge.program.policy_client._on_grant_message
         for planner in fleet.planners.values():
--- a/tests/test_worker_pool.py
+++ b/tests/test_worker_pool.py
@@ -1,7 +1,4 @@
-"""Workers end with the program that started them, also one that is killed.
-
-After a killed `rushmux lab run` its workers waited for work minutes later, without a parent.
-"""
+"""Workers exit when the program that started them is killed, instead of waiting for work forever."""
 
 import os
 import signal
@@ -28,7 +25,7 @@
 """
 
 
-def lives(process_id):
+def is_alive(process_id):
     try:
         os.kill(process_id, 0)
     except ProcessLookupError:
@@ -43,11 +40,11 @@
     parent = subprocess.Popen([sys.executable, path], stdout=subprocess.PIPE, text=True)
     workers = {int(parent.stdout.readline()) for _ in range(2)}
     time.sleep(0.5)
-    assert all(map(lives, workers))
+    assert all(map(is_alive, workers))
     parent.send_signal(signal.SIGKILL)
     parent.wait()
     parent.stdout.close()
-    until = time.monotonic() + 10
-    while any(map(lives, workers)) and time.monotonic() < until:
+    deadline = time.monotonic() + 10
+    while any(map(is_alive, workers)) and time.monotonic() < deadline:
         time.sleep(0.1)
-    assert not any(map(lives, workers))
+    assert not any(map(is_alive, workers))
