--- a/rushmux/buffer/batch_writer.py
+++ b/rushmux/buffer/batch_writer.py
@@ -29,7 +29,7 @@
 from rushmux.files.layout import Extent
 from rushmux.nodewire import messages
 
-MAX_PARALLEL_STORES = 6  # objects of a batch; below the ten operations that a node may have in flight
+MAX_PARALLEL_STORES = 6  # objects of a batch; below the ten attempts that a node may have in flight
 MAX_KEYS_PER_READ = 400  # keeps the reply far below the largest frame
 OPERATION_KEY = "buffer"  # ordering key of the row operations
 REQUESTED_ROLE = "write"
--- a/rushmux/buffer/disk.py
+++ b/rushmux/buffer/disk.py
@@ -33,7 +33,7 @@
 
 
 class SegmentFolder:
-    """Segments in a folder that one program at a time can lock.
+    """Segments in a folder that only one program at a time can use.
 
     Args:
         folder: The folder, which is created if missing.
--- a/rushmux/buffer/flush_policy.py
+++ b/rushmux/buffer/flush_policy.py
@@ -14,8 +14,8 @@
 from rushmux.buffer.extents import ExtentIndex
 
 PRESSURE_FRACTION = 0.5  # of a byte limit: above it the oldest writes are flushed regardless of the budget
-STALE_FRACTION = 0.3  # of the retention: while flushes fail, older writes block new ones
-INITIAL_BACKOFF = 0.1  # seconds until the first retry of a failed batch
+STALE_FRACTION = 0.3  # of the retention: older writes block new ones while flushes fail
+INITIAL_BACKOFF = 0.1  # seconds until a failed batch is retried; doubles with each consecutive failure
 MAX_BACKOFF = 5.0  # seconds
 RETRY_BACKOFF = Backoff(INITIAL_BACKOFF, MAX_BACKOFF)
 REMEMBERED_BATCHES = 32  # recent batches whose durations are kept
--- a/rushmux/buffer/writeback.py
+++ b/rushmux/buffer/writeback.py
@@ -34,7 +34,7 @@
 
 BATCH_TIMEOUT = 8.0  # seconds; longer than the deadlines of a batch's stores and commit
 ANSWER_MARGIN = 0.1  # seconds before its timeout at which a request stops waiting for capacity
-MIN_SLEEP = 0.001  # seconds between checks for due batches
+MIN_SLEEP = 0.001  # least seconds between checks for due batches
 DRAIN_POLL_INTERVAL = 0.05  # seconds
 NOTIFICATION_DELAY = 1.0  # seconds after which an answer has surely been sent
 DEFAULT_LOG_BYTES = 256 << 20
