--- a/rushmux/cli/crash_rounds.py
+++ b/rushmux/cli/crash_rounds.py
@@ -102,7 +102,7 @@
     async def story(fleet: FleetOperations) -> Sequence[str]:
         rng = random.Random(seed)
         fault = asyncio.ensure_future(_inject_fault(fleet, rng))
-        errors, _ = await kills.round_of(fleet, FOLDERS[seed % len(FOLDERS)], rng, 0, KILL_WINDOW)
+        errors, _ = await kills.run_round(fleet, FOLDERS[seed % len(FOLDERS)], rng, 0, KILL_WINDOW)
         del fault  # it ends with the fleet
         return errors
 
@@ -137,7 +137,7 @@
                 for seed in seeds:
                     rng = random.Random(seed)
                     fault = asyncio.ensure_future(_inject_fault(fleet, rng))
-                    errors, written = await kills.round_of(
+                    errors, written = await kills.run_round(
                         fleet, FOLDERS[seed % len(FOLDERS)], rng, written, KILL_WINDOW
                     )
                     await fault
--- a/rushmux/standins/gateway_soak.py
+++ b/rushmux/standins/gateway_soak.py
@@ -20,8 +20,8 @@
     HELD_UP,
     Attempt,
     Request,
+    Scenario,
     Settings,
-    Shape,
     Signals,
     judge,
     judge_log,
@@ -69,15 +69,15 @@
 
 def draw_settings(rng: random.Random) -> Settings:
     """Settings of a run."""
-    shape = rng.choice(list(Shape))
+    scenario = rng.choice(list(Scenario))
     deadline = rng.choice((0.2, 0.5, 1.0, 2.0, 5.0))
-    crowd = shape is Shape.CROWD
+    crowd = scenario is Scenario.CROWD
     return Settings(
-        shape=shape,
+        scenario=scenario,
         signals=rng.choice(list(Signals)),
         deadline=deadline,
         window=rng.choice((0.3, deadline, 3.0)),
-        write_effect=rng.choice(("safe", "keyed", "unsafe")),
+        write_idempotency=rng.choice(("safe", "keyed", "unsafe")),
         node_count=rng.randint(2, 4),
         client_count=rng.randint(3, 8),
         sockets=96 if crowd else 256,
@@ -119,7 +119,7 @@
         await self._gateway.start()
         process = self._gateway.process
         try:
-            if self.settings.shape is Shape.NO_LIST:
+            if self.settings.scenario is Scenario.NO_LIST:
                 await self._stop_before_list(process)
             else:
                 await self._load_and_stop(process)
@@ -147,7 +147,7 @@
             node.script = self._script_of(name)
             await node.open()
             self._discovery.update(node.row(name, cell))
-        self._discovery.is_silent = self.settings.shape is Shape.NO_LIST
+        self._discovery.is_silent = self.settings.scenario is Scenario.NO_LIST
         self._gateway.port = free_gateway_port()
         self._write_file()
 
@@ -163,7 +163,7 @@
             dedup_window=round(settings.window * 1000),
             ConnIdle=round(IDLE_TIME * 1e9),
         )
-        raw["settings"]["Classes"][1]["Idempotency"] = settings.write_effect
+        raw["settings"]["Classes"][1]["Idempotency"] = settings.write_idempotency
         self._gateway.write_configuration(raw)
 
     def _close_stand_ins(self) -> None:
@@ -191,7 +191,7 @@
     def _drawn_outcome(self) -> list:
         rng = self._node_rng
         draw = rng.random()
-        if self.settings.shape is not Shape.NODES:
+        if self.settings.scenario is not Scenario.NODES:
             return [success_reply()] if draw < PROMPT_CHANCE else [rng.uniform(0, 0.1), success_reply()]
         whole = success_reply()
         outcomes = (
@@ -294,21 +294,21 @@
 
     async def _troubles(self) -> None:
         """What happens to nodes and discovery during the load."""
-        shape, name = self.settings.shape, self.rng.choice(list(self._nodes))
+        scenario, name = self.settings.scenario, self.rng.choice(list(self._nodes))
         await asyncio.sleep(self.rng.uniform(0.2, 0.8))
-        if shape is Shape.DISCOVERY:
+        if scenario is Scenario.DISCOVERY:
             self._discovery.is_silent = True
         cell = list(self._nodes).index(name)
         if self.rng.random() < 1 / 2:
             self._discovery.update(self._nodes[name].row(name, cell, "draining"))
             self._drained_at[name] = self._loop.time()
-        if shape is Shape.NODES:
+        if scenario is Scenario.NODES:
             other = self.rng.choice([each for each in self._nodes if each != name])
             port = self._nodes[other].port
             self._nodes[other].close()
             await asyncio.sleep(self.rng.uniform(0.1, 0.5))
             await self._nodes[other].open(port)
-        if shape is Shape.DISCOVERY:
+        if scenario is Scenario.DISCOVERY:
             await asyncio.sleep(self.rng.uniform(0.3, 1.2))
             self._discovery.is_silent = False
 
@@ -354,7 +354,9 @@
         if not is_write:
             return read_command(number, cell=cell, time_left=time_left)
         arguments = write_command(number, cell=cell, time_left=time_left)
-        if self.settings.write_effect != "keyed":  # a key is for keyed classes alone, and refused elsewhere
+        if (
+            self.settings.write_idempotency != "keyed"
+        ):  # a key is for keyed classes alone, and refused elsewhere
             arguments[3] = re.sub(rb",k=[0-9a-f]+", b"", arguments[3])
         return arguments
 
--- a/rushmux/standins/gateway_soak_judge.py
+++ b/rushmux/standins/gateway_soak_judge.py
@@ -24,7 +24,7 @@
 """Seconds after a drain was told (`StopSendingWithin` of the settings)."""
 
 
-class Shape(StrEnum):
+class Scenario(StrEnum):
     """What a run is about, beside the load of all."""
 
     PLAIN = "plain"
@@ -73,11 +73,11 @@
 class Settings:
     """What is drawn for a run."""
 
-    shape: Shape
+    scenario: Scenario
     signals: Signals
     deadline: float
     window: float
-    write_effect: str
+    write_idempotency: str
     node_count: int
     client_count: int
     sockets: int
@@ -102,7 +102,7 @@
             self.breaches.append(f"request {request.number} got no answer")
         elif request.attempts:
             self.breaches.append(f"request {request.number} was forwarded, and its connection ended")
-        elif self._settings.shape is Shape.CROWD and request.is_on_new_connection:
+        elif self._settings.scenario is Scenario.CROWD and request.is_on_new_connection:
             pass  # where idle clients fill the descriptors, a new connection may be shut unread
         elif request.connection_ended_at - request.sent_at > CROSSING + self._longest_lag:
             waited = request.connection_ended_at - request.sent_at
@@ -126,7 +126,7 @@
         drained_at = self._drained_at.get(attempt.node)
         if drained_at is None:
             return
-        away = DRAIN_TOLD_WITHIN if self._settings.shape is Shape.DISCOVERY else 0.0
+        away = DRAIN_TOLD_WITHIN if self._settings.scenario is Scenario.DISCOVERY else 0.0
         late = attempt.at - drained_at - STOP_SENDING_WITHIN - away - slack
         if late > 0:
             self.breaches.append(
@@ -136,7 +136,7 @@
     def _judge_repeats(self, request: Request, slack: float) -> None:
         if not request.is_write:
             return
-        effect = self._settings.write_effect
+        effect = self._settings.write_idempotency
         for earlier, attempt in zip(request.attempts, request.attempts[1:], strict=False):
             if effect == "unsafe" and earlier.may_have_run:
                 self.breaches.append(f"request {request.number} may have run twice")
--- a/rushmux/standins/kills.py
+++ b/rushmux/standins/kills.py
@@ -268,7 +268,7 @@
     ]
 
 
-async def round_of(
+async def run_round(
     fleet: FleetOperations, folder: str, rng: random.Random, first_number: int, kill_window: float
 ) -> tuple[list[str], int]:
     """One kill on a fleet that is up.
--- a/tests/buffer/test_crashes.py
+++ b/tests/buffer/test_crashes.py
@@ -20,7 +20,7 @@
     """A story in which edge 0 is killed while a client writes; its result begins with the breaches found."""
 
     async def story(fleet):
-        return await kills.round_of(fleet, FOLDER, random.Random(seed), 0, MAX_DELAY)
+        return await kills.run_round(fleet, FOLDER, random.Random(seed), 0, MAX_DELAY)
 
     return story
 
--- a/tests/gateway/test_soak.py
+++ b/tests/gateway/test_soak.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rushmux.standins.gateway_soak import SoakRun
-from rushmux.standins.gateway_soak_judge import Attempt, Request, Settings, Shape, Signals, judge
+from rushmux.standins.gateway_soak_judge import Attempt, Request, Scenario, Settings, Signals, judge
 
 DEFAULT_SEEDS = range(12)
 
@@ -25,8 +25,8 @@
     outcome = run_soak(soak_seed, tmp_path)
     settings = outcome.settings
     print(
-        f"| {soak_seed} | {settings.shape} | {settings.signals} | {settings.deadline} |"
-        f" {settings.write_effect} | {outcome.requests} | {outcome.answered} |"
+        f"| {soak_seed} | {settings.scenario} | {settings.signals} | {settings.deadline} |"
+        f" {settings.write_idempotency} | {outcome.requests} | {outcome.answered} |"
         f" {'; '.join(outcome.breaches[:3]) or 'kept'} |"
     )
     rerun_command = f"python -m pytest tests/gateway/test_soak.py --seeds {soak_seed}:{soak_seed + 1}"
@@ -102,14 +102,14 @@
     ],
 )
 def test_the_judge_reports_each_breach_and_nothing_else(observed, effect, breach):
-    settings = Settings(Shape.PLAIN, Signals.TERM, 0.5, 0.3, effect, 2, 3, 256, 0)
+    settings = Settings(Scenario.PLAIN, Signals.TERM, 0.5, 0.3, effect, 2, 3, 256, 0)
     breaches = judge([request(**observed)], settings, {"drained": 0.7}, lag=0.01)
     assert [breach in text for text in breaches] == [True] if breach else breaches == []
 
 
 def test_a_new_connection_may_be_closed_unread_only_in_a_crowd():
     closed = request(connection_ended_at=1.4, is_on_new_connection=True)
-    crowd = Settings(Shape.CROWD, Signals.TERM, 0.5, 0.3, "safe", 2, 3, 96, 60)
+    crowd = Settings(Scenario.CROWD, Signals.TERM, 0.5, 0.3, "safe", 2, 3, 96, 60)
     assert judge([closed], crowd, {}, lag=0.0) == []
     used = request(connection_ended_at=1.4)
     assert judge([used], crowd, {}, lag=0.0)
