--- a/rushmux/standins/gateway_soak.py
+++ b/rushmux/standins/gateway_soak.py
@@ -1,8 +1,7 @@
-"""A drawn run of the platform's gateway as a real process, judged from outside.
+"""Randomized runs of a gateway process, checked from outside.
 
-Everything is drawn from a seed: settings, what nodes do with each command, clients that leave, pipeline or
-stay idle, drains, vanishing nodes, discovery away, signals.  What clients and nodes saw is judged by
-`gateway_soak_judge`.
+A seed determines the settings, the nodes' responses, clients that disconnect, pipeline or stay idle, drains,
+outages of nodes and discovery, and signals.  `gateway_soak_judge` checks what clients and nodes observed.
 """
 
 import asyncio
@@ -17,7 +16,7 @@
 
 from rushmux.standins.gateway_soak_judge import (
     ANSWER_SLACK,
-    HELD_UP,
+    MAX_WRITE_DELAY,
     Attempt,
     Request,
     Scenario,
@@ -38,28 +37,29 @@
 )
 from rushmux.standins.platform.gateway_process import GATEWAY_ARGUMENTS, GatewayProcess, free_gateway_port
 
-READY_WITHIN = 10.0
+READY_TIMEOUT = 10.0
 """Seconds from the start to the first PONG."""
-LONGEST_COUNTED_DEADLINE, KILL_GRACE = 3.0, 0.7
-"""Of the time from SIGTERM to SIGKILL."""
-IDLE_TIME = 0.6
+MAX_SHUTDOWN_DEADLINE, KILL_GRACE = 3.0, 0.7
+"""Seconds: SIGKILL follows SIGTERM after the request deadline, capped at the first, plus the second."""
+NODE_IDLE_TIMEOUT = 0.6
 """Seconds after which nodes close idle connections (`ConnIdle`)."""
 LOAD_TIME = 2.5
 LAG_INTERVAL = 0.01
 NEW_CONNECTIONS_TIME = 0.4
-"""Seconds after SIGTERM for which new connections come, at the most."""
-PROMPT_CHANCE, LEAVE_CHANCE = 0.6, 0.06
-"""Of a healthy node to answer at once; of a client to leave with its requests open."""
-ENDS_AFTER_SIGTERM = (0, -signal.SIGKILL, -signal.SIGTERM, -signal.SIGHUP)
-"""Exit codes: "A gateway that ends after SIGTERM has not crashed".  A second signal may come after the loop
-is closed and has taken its handlers away; nothing is open by then.
+"""Seconds after SIGTERM during which clients may open new connections."""
+PROMPT_CHANCE, DISCONNECT_CHANCE = 0.6, 0.06
+"""That a healthy node replies at once; that a client disconnects with requests pending."""
+EXIT_CODES_AFTER_SIGTERM = (0, -signal.SIGKILL, -signal.SIGTERM, -signal.SIGHUP)
+"""Exit codes that are no crash after SIGTERM.
+
+A second signal may arrive when the event loop is closed and has removed its handlers; nothing is open then.
 """
 BUSY, FAILED = b"-BUSY\r\n", b"-ERR failed\r\n"
 
 
 @dataclass
 class Outcome:
-    """The result of a run: its settings, how many requests it had, and what was wrong."""
+    """The result of a run: its settings, numbers of requests sent and answered, and rule breaches."""
 
     settings: Settings
     requests: int
@@ -68,7 +68,7 @@
 
 
 def draw_settings(rng: random.Random) -> Settings:
-    """Settings of a run."""
+    """Draws the settings of a run."""
     scenario = rng.choice(list(Scenario))
     deadline = rng.choice((0.2, 0.5, 1.0, 2.0, 5.0))
     crowd = scenario is Scenario.CROWD
@@ -76,7 +76,7 @@
         scenario=scenario,
         signals=rng.choice(list(Signals)),
         deadline=deadline,
-        window=rng.choice((0.3, deadline, 3.0)),
+        dedup_window=rng.choice((0.3, deadline, 3.0)),
         write_idempotency=rng.choice(("safe", "keyed", "unsafe")),
         node_count=rng.randint(2, 4),
         client_count=rng.randint(3, 8),
@@ -87,17 +87,17 @@
 
 
 class SoakRun:
-    """One run.
+    """One randomized run.
 
     Args:
         seed: Seeds all random draws.
-        folder: Where the configuration's file lies.
-        arguments: Of the interpreter, that start the gateway.
+        folder: Directory for the configuration file.
+        arguments: Interpreter arguments that start the gateway.
     """
 
     def __init__(self, seed: int, folder: Path, arguments: Iterable[str] = GATEWAY_ARGUMENTS):
         self.settings = draw_settings(random.Random(f"soak {seed}"))
-        # Apart, since how many draws nodes and clients make depends on the machine.
+        # Separate generators: how many draws nodes and clients make depends on timing.
         self.rng = random.Random(f"soak {seed} course")
         self._node_rng = random.Random(f"soak {seed} nodes")
         self.breaches: list[str] = []
@@ -108,19 +108,19 @@
         self._drained_at: dict[str, float] = {}
         self._tasks: list[asyncio.Task] = []
         self._longest_lag = 0.0
-        self._serving = True
+        self._clients_active = True
         self._new_connections_until = float("inf")
 
     async def run(self) -> Outcome:
-        """Plays and judges the run."""
+        """Executes and judges the run."""
         self._loop = asyncio.get_running_loop()
         lag_task = self._loop.create_task(self._watch_lag())
         await self._open_stand_ins()
         await self._gateway.start()
         process = self._gateway.process
         try:
-            if self.settings.scenario is Scenario.NO_LIST:
-                await self._stop_before_list(process)
+            if self.settings.scenario is Scenario.BEFORE_FIRST_LIST:
+                await self._stop_before_first_list(process)
             else:
                 await self._load_and_stop(process)
         finally:
@@ -133,25 +133,25 @@
         return Outcome(self.settings, len(self._requests), answered, self.breaches)
 
     async def _watch_lag(self) -> None:
-        """Notes by how much this observer itself was late: times are no more exact than that."""
+        """Records the largest delay of this event loop, which bounds the accuracy of recorded times."""
         while True:
             due = self._loop.time() + LAG_INTERVAL
             await asyncio.sleep(LAG_INTERVAL)
             self._longest_lag = max(self._longest_lag, self._loop.time() - due)
 
-    # The gateway and the stand-ins.
+    # Gateway and stand-ins.
 
     async def _open_stand_ins(self) -> None:
         await self._discovery.open()
         for cell, (name, node) in enumerate(self._nodes.items()):
-            node.script = self._script_of(name)
+            node.script = self._node_script(name)
             await node.open()
             self._discovery.update(node.row(name, cell))
-        self._discovery.is_silent = self.settings.scenario is Scenario.NO_LIST
+        self._discovery.is_silent = self.settings.scenario is Scenario.BEFORE_FIRST_LIST
         self._gateway.port = free_gateway_port()
-        self._write_file()
+        self._write_configuration()
 
-    def _write_file(self) -> None:
+    def _write_configuration(self) -> None:
         settings = self.settings
         raw = configuration(
             self._discovery.port,
@@ -160,8 +160,8 @@
             sockets=settings.sockets,
             deadline=round(settings.deadline * 1000),
             objective=round(settings.deadline * 400),
-            dedup_window=round(settings.window * 1000),
-            ConnIdle=round(IDLE_TIME * 1e9),
+            dedup_window=round(settings.dedup_window * 1000),
+            ConnIdle=round(NODE_IDLE_TIMEOUT * 1e9),
         )
         raw["settings"]["Classes"][1]["Idempotency"] = settings.write_idempotency
         self._gateway.write_configuration(raw)
@@ -171,68 +171,68 @@
         for node in self._nodes.values():
             node.close()
 
-    def _script_of(self, name: str):
-        """What a node does with each command: it notes the attempt and draws its outcome."""
+    def _node_script(self, name: str):
+        """Returns a node's script, which records each attempt and draws its response."""
 
         def script(arguments: list[bytes]) -> list:
             request = self._requests.get(int(arguments[2], 16))
-            outcome = self._drawn_outcome()
+            response = self._draw_response()
             if request is None:
-                self.breaches.append(f"{name} got the command {arguments[2]!r}, which no client sent")
-                return outcome
-            may_have_run = outcome[-1] != BUSY
+                self.breaches.append(f"{name} received the command {arguments[2]!r}, which no client sent")
+                return response
+            may_have_run = response[-1] != BUSY
             request.attempts.append(Attempt(self._loop.time(), name, may_have_run))
-            if int(option_of(arguments, "d")) / 1000 > request.deadline + HELD_UP:
-                self.breaches.append(f"request {request.number} was sent with more time than its client has")
-            return outcome
+            if int(option_of(arguments, "d")) / 1000 > request.deadline + MAX_WRITE_DELAY:
+                self.breaches.append(f"request {request.number} was forwarded with a longer deadline")
+            return response
 
         return script
 
-    def _drawn_outcome(self) -> list:
+    def _draw_response(self) -> list:
         rng = self._node_rng
         draw = rng.random()
         if self.settings.scenario is not Scenario.NODES:
             return [success_reply()] if draw < PROMPT_CHANCE else [rng.uniform(0, 0.1), success_reply()]
-        whole = success_reply()
-        outcomes = (
-            [whole],
-            [rng.uniform(0, 0.3), whole],
+        reply = success_reply()
+        responses = (
+            [reply],
+            [rng.uniform(0, 0.3), reply],
             [BUSY],
             [FAILED],
             ["hang"],
             ["close"],
-            [whole[: rng.randrange(1, len(whole))], "close"],
-            [whole, rng.uniform(0, 0.01), whole],
+            [reply[: rng.randrange(1, len(reply))], "close"],
+            [reply, rng.uniform(0, 0.01), reply],
         )
-        return rng.choices(outcomes, (40, 20, 8, 8, 6, 8, 5, 5))[0]
+        return rng.choices(responses, (40, 20, 8, 8, 6, 8, 5, 5))[0]
 
-    # The course of a run.
+    # Steps of a run.
 
-    async def _stop_before_list(self, process: asyncio.subprocess.Process) -> None:
-        until = self._loop.time() + READY_WITHIN
+    async def _stop_before_first_list(self, process: asyncio.subprocess.Process) -> None:
+        until = self._loop.time() + READY_TIMEOUT
         while not self._discovery.requests and self._loop.time() < until and process.returncode is None:
             await asyncio.sleep(0.01)
         await asyncio.sleep(self.rng.uniform(0, 0.5))
         await self._send_signals(process)
-        await self._end(process)
+        await self._wait_for_exit(process)
 
     async def _load_and_stop(self, process: asyncio.subprocess.Process) -> None:
-        if not await self._gateway.is_ready(READY_WITHIN):
-            self.breaches.append(f"not ready within {READY_WITHIN:g} s")
+        if not await self._gateway.is_ready(READY_TIMEOUT):
+            self.breaches.append(f"the gateway was not ready within {READY_TIMEOUT:g} s")
             return
-        descriptors = self._descriptors(process)
+        descriptors = self._count_descriptors(process)
         idle = [await FakeClient().open(self._gateway.port) for _ in range(self.settings.idle_clients)]
         clients = self._start_clients(self.settings.client_count)
-        troubles = self._loop.create_task(self._troubles())
+        faults = self._loop.create_task(self._inject_faults())
         await asyncio.sleep(LOAD_TIME)
-        await troubles
+        await faults
         if self.settings.checks_descriptors:
             await self._check_descriptors(process, clients, idle, descriptors)
-            self._serving = True
+            self._clients_active = True
             clients = self._start_clients(2)
             await asyncio.sleep(0.3)
         await self._send_signals(process)
-        await self._end(process)
+        await self._wait_for_exit(process)
         await asyncio.gather(*clients, *self._tasks)
         for client in idle:
             client.close()
@@ -247,20 +247,20 @@
         idle: list[FakeClient],
         before: int,
     ) -> None:
-        """After the load, with no client left, as many descriptors are open as before it."""
-        self._serving = False
+        """Checks that no more descriptors are open after all clients have left than before the load."""
+        self._clients_active = False
         await asyncio.gather(*clients)
         for client in idle:
             client.close()
-        until = self._loop.time() + IDLE_TIME + self.settings.deadline + 2
-        while self._descriptors(process) > before and self._loop.time() < until:
+        until = self._loop.time() + NODE_IDLE_TIMEOUT + self.settings.deadline + 2
+        while self._count_descriptors(process) > before and self._loop.time() < until:
             await asyncio.sleep(0.1)
-        after = self._descriptors(process)
+        after = self._count_descriptors(process)
         if after > before:
-            self.breaches.append(f"{after} descriptors are open with no client, {before} before the load")
+            self.breaches.append(f"{after} descriptors are open without clients, {before} before the load")
 
     @staticmethod
-    def _descriptors(process: asyncio.subprocess.Process) -> int:
+    def _count_descriptors(process: asyncio.subprocess.Process) -> int:
         return len(os.listdir(f"/proc/{process.pid}/fd"))
 
     async def _send_signals(self, process: asyncio.subprocess.Process) -> None:
@@ -271,29 +271,29 @@
         terminated_at = None
         for number in numbers:
             if terminated_at is None and process.returncode is not None:
-                self.breaches.append(f"it ended with {process.returncode} before SIGTERM")
-            with contextlib.suppress(ProcessLookupError):  # it has ended
+                self.breaches.append(f"the gateway exited with code {process.returncode} before SIGTERM")
+            with contextlib.suppress(ProcessLookupError):  # the process has exited
                 process.send_signal(number)
             if number == signal.SIGTERM and terminated_at is None:
                 terminated_at = self._loop.time()
                 self._new_connections_until = terminated_at + NEW_CONNECTIONS_TIME
             await asyncio.sleep(self.rng.uniform(0.0, 0.2))
-        self._killed_at = terminated_at + min(self.settings.deadline, LONGEST_COUNTED_DEADLINE) + KILL_GRACE
+        self._kill_at = terminated_at + min(self.settings.deadline, MAX_SHUTDOWN_DEADLINE) + KILL_GRACE
 
-    async def _end(self, process: asyncio.subprocess.Process) -> None:
-        """Waits until it has ended, or ends it at the earliest that the page allows."""
+    async def _wait_for_exit(self, process: asyncio.subprocess.Process) -> None:
+        """Waits for the process to exit, and kills it as early as the operators' protocol allows."""
         try:
-            async with asyncio.timeout_at(self._killed_at):
+            async with asyncio.timeout_at(self._kill_at):
                 await process.wait()
         except TimeoutError:
             process.kill()
             await process.wait()
-        if process.returncode not in ENDS_AFTER_SIGTERM:
-            self.breaches.append(f"it ended with {process.returncode}")
-        self._serving = False
+        if process.returncode not in EXIT_CODES_AFTER_SIGTERM:
+            self.breaches.append(f"the gateway exited with code {process.returncode}")
+        self._clients_active = False
 
-    async def _troubles(self) -> None:
-        """What happens to nodes and discovery during the load."""
+    async def _inject_faults(self) -> None:
+        """Drains and restarts nodes and silences discovery during the load."""
         scenario, name = self.settings.scenario, self.rng.choice(list(self._nodes))
         await asyncio.sleep(self.rng.uniform(0.2, 0.8))
         if scenario is Scenario.DISCOVERY:
@@ -315,20 +315,20 @@
     # Clients.
 
     async def _client(self, seed: float) -> None:
-        """Sends requests on one connection after another, as long as the gateway takes them."""
+        """Sends requests on one connection after another while the gateway accepts them."""
         rng = random.Random(seed)
-        while self._serving and self._loop.time() < self._new_connections_until:
+        while self._clients_active and self._loop.time() < self._new_connections_until:
             try:
                 connection = await FakeClient().open(self._gateway.port)
             except OSError:
                 return
-            await self._use(connection, rng)
+            await self._send_requests(connection, rng)
             connection.close()
 
-    async def _use(self, connection: FakeClient, rng: random.Random) -> None:
-        while self._serving:
-            requests = [self._send(connection, rng) for _ in range(rng.choice((1, 1, 1, 2, 5)))]
-            if rng.random() < LEAVE_CHANCE:
+    async def _send_requests(self, connection: FakeClient, rng: random.Random) -> None:
+        while self._clients_active:
+            requests = [self._send_request(connection, rng) for _ in range(rng.choice((1, 1, 1, 2, 5)))]
+            if rng.random() < DISCONNECT_CHANCE:
                 await asyncio.sleep(rng.uniform(0, 0.05))
                 connection.writer.transport.abort() if rng.random() < 1 / 2 else connection.close()
                 for request in requests:
@@ -338,7 +338,7 @@
                 return
             await asyncio.sleep(rng.expovariate(20))
 
-    def _send(self, connection: FakeClient, rng: random.Random) -> Request:
+    def _send_request(self, connection: FakeClient, rng: random.Random) -> Request:
         number = len(self._requests) + 1
         deadline = self.settings.deadline
         is_write = rng.random() < 1 / 3
@@ -354,14 +354,12 @@
         if not is_write:
             return read_command(number, cell=cell, time_left=time_left)
         arguments = write_command(number, cell=cell, time_left=time_left)
-        if (
-            self.settings.write_idempotency != "keyed"
-        ):  # a key is for keyed classes alone, and refused elsewhere
+        if self.settings.write_idempotency != "keyed":  # classes that are not keyed reject a key
             arguments[3] = re.sub(rb",k=[0-9a-f]+", b"", arguments[3])
         return arguments
 
     async def _read_replies(self, connection: FakeClient, requests: list[Request]) -> bool:
-        """Reads the replies in order; False: the connection ended."""
+        """Reads the replies in order; returns False if the connection ended or a reply timed out."""
         for index, request in enumerate(requests):
             patience = request.sent_at + request.deadline + ANSWER_SLACK + 2 - self._loop.time()
             try:
--- a/rushmux/standins/gateway_soak_judge.py
+++ b/rushmux/standins/gateway_soak_judge.py
@@ -1,6 +1,6 @@
-"""Judges what clients and nodes saw of a gateway, against the sentences of the operators' protocol page.
+"""Checks what clients and nodes observed of a gateway against the operators' protocol.
 
-The bounds are the page's; times are longer by what the observer itself was late, since it measures no better.
+All time limits are extended by the observer's own delay, which bounds the accuracy of its measurements.
 """
 
 from collections.abc import Mapping, Sequence
@@ -8,34 +8,34 @@
 from enum import StrEnum
 
 ANSWER_SLACK = 0.5
-"""Seconds past a request's time after which its answer counts as lost."""
-LEFT_SLACK = 0.1
-"""Seconds after a client's close in which an attempt may still begin."""
+"""Seconds past a request's deadline after which its answer is overdue."""
+DISCONNECT_SLACK = 0.1
+"""Seconds after a client disconnects during which an attempt may still start."""
 TIME_SLACK = 0.05
-"""Seconds by which every limit is longer on sockets."""
-DRAIN_TOLD_WITHIN = 6.0
-"""Seconds within which a change counts as told, whatever discovery does."""
-CROSSING = 0.05
-"""Seconds before a connection's end in which a request may cross it unread."""
-HELD_UP = 0.15
-"""Seconds for which a gateway may be held up between its clock and its write."""
-MAX_QUOTED = 300
+"""Seconds by which sockets may delay each observation."""
+DRAIN_NOTICE_TIME = 6.0
+"""Seconds after which a gateway must know a change of discovery's list, even across an outage."""
+CLOSE_RACE_TIME = 0.05
+"""Seconds before a connection's end in which a request may cross the close in transit and stay unread."""
+MAX_WRITE_DELAY = 0.15
+"""Seconds that may pass between a gateway's reading of the clock and its write."""
+MAX_QUOTE_LENGTH = 300
 STOP_SENDING_WITHIN = 0.25
-"""Seconds after a drain was told (`StopSendingWithin` of the settings)."""
+"""Seconds after a drain notice until a gateway must stop sending (the setting `StopSendingWithin`)."""
 
 
 class Scenario(StrEnum):
-    """What a run is about, beside the load of all."""
+    """The special condition of a run, besides the load that all have."""
 
     PLAIN = "plain"
     CROWD = "crowd"
     NODES = "failing nodes"
     DISCOVERY = "discovery away"
-    NO_LIST = "SIGTERM before the first list"
+    BEFORE_FIRST_LIST = "SIGTERM before the first list"
 
 
 class Signals(StrEnum):
-    """The series of signals at the end of the load."""
+    """The signals sent at the end of the load."""
 
     TERM = "TERM"
     HUP_TERM = "HUP TERM"
@@ -47,7 +47,7 @@
 
 @dataclass
 class Request:
-    """A client's request, and what became of it; times of the loop's clock in seconds."""
+    """A client's request and its result; times are the event loop's, in seconds."""
 
     number: int
     sent_at: float
@@ -62,7 +62,7 @@
 
 @dataclass
 class Attempt:
-    """A command that came to a node: when, whether it began, and the node's name."""
+    """A command that a node received."""
 
     at: float
     node: str
@@ -71,12 +71,12 @@
 
 @dataclass
 class Settings:
-    """What is drawn for a run."""
+    """The settings drawn for a run."""
 
     scenario: Scenario
     signals: Signals
     deadline: float
-    window: float
+    dedup_window: float
     write_idempotency: str
     node_count: int
     client_count: int
@@ -103,8 +103,8 @@
         elif request.attempts:
             self.breaches.append(f"request {request.number} was forwarded, and its connection ended")
         elif self._settings.scenario is Scenario.CROWD and request.is_on_new_connection:
-            pass  # where idle clients fill the descriptors, a new connection may be shut unread
-        elif request.connection_ended_at - request.sent_at > CROSSING + self._longest_lag:
+            pass  # with descriptors used up by idle clients, a new connection may be closed unread
+        elif request.connection_ended_at - request.sent_at > CLOSE_RACE_TIME + self._longest_lag:
             waited = request.connection_ended_at - request.sent_at
             self.breaches.append(f"request {request.number} waited {waited:.3f} s, and its connection ended")
 
@@ -113,7 +113,7 @@
         for attempt in request.attempts:
             if request.client_left_at is not None:
                 since_left = attempt.at - request.client_left_at
-                if since_left > LEFT_SLACK + slack:
+                if since_left > DISCONNECT_SLACK + slack:
                     self.breaches.append(
                         f"request {request.number} was forwarded {since_left:.3f} s after its client left"
                     )
@@ -126,35 +126,35 @@
         drained_at = self._drained_at.get(attempt.node)
         if drained_at is None:
             return
-        away = DRAIN_TOLD_WITHIN if self._settings.scenario is Scenario.DISCOVERY else 0.0
-        late = attempt.at - drained_at - STOP_SENDING_WITHIN - away - slack
+        outage = DRAIN_NOTICE_TIME if self._settings.scenario is Scenario.DISCOVERY else 0.0
+        late = attempt.at - drained_at - STOP_SENDING_WITHIN - outage - slack
         if late > 0:
             self.breaches.append(
-                f"request {request.number} went to draining {attempt.node} {late:.3f} s too late"
+                f"request {request.number} was sent to draining {attempt.node} {late:.3f} s too late"
             )
 
     def _judge_repeats(self, request: Request, slack: float) -> None:
         if not request.is_write:
             return
-        effect = self._settings.write_idempotency
+        idempotency = self._settings.write_idempotency
         for earlier, attempt in zip(request.attempts, request.attempts[1:], strict=False):
-            if effect == "unsafe" and earlier.may_have_run:
+            if idempotency == "unsafe" and earlier.may_have_run:
                 self.breaches.append(f"request {request.number} may have run twice")
             first = request.attempts[0]
-            if effect == "keyed" and attempt.at - first.at > self._settings.window + slack:
-                self.breaches.append(f"request {request.number} was repeated past its window")
+            if idempotency == "keyed" and attempt.at - first.at > self._settings.dedup_window + slack:
+                self.breaches.append(f"request {request.number} was retried past its window")
 
 
 def judge(
     requests: Sequence[Request], settings: Settings, drained_at: Mapping[str, float], lag: float
 ) -> list[str]:
-    """What is wrong with a run.
+    """Returns the rule breaches of a run.
 
     Args:
         requests: All requests of its clients, with their attempts.
-        settings: What was drawn for it.
-        drained_at: When discovery said of a node that it drains, by the node's name.
-        lag: Seconds by which the observer was late at the most.
+        settings: The run's settings.
+        drained_at: By node name, when discovery reported that it is draining.
+        lag: The observer's largest delay in seconds.
     """
     judging = _Judge(settings, drained_at, lag)
     for request in requests:
@@ -164,6 +164,6 @@
 
 
 def judge_log(text: str) -> list[str]:
-    """Faults that the gateway itself logged."""
+    """Returns the first fault that the gateway itself logged, if any."""
     found = (line for line in text.splitlines() if "Traceback" in line or "fault" in line)
-    return [f"its log has: {line[:MAX_QUOTED]}" for line in found][:1]
+    return [f"the gateway logged: {line[:MAX_QUOTE_LENGTH]}" for line in found][:1]
--- a/rushmux/standins/limit_judge.py
+++ b/rushmux/standins/limit_judge.py
@@ -1,17 +1,17 @@
-"""Judges whether all gateways together kept the limits of volumes, from what storage nodes received.
+"""Checks from what storage nodes received that all gateways together kept the volumes' limits.
 
-Each volume has one token bucket for the whole fleet, full at the start.  The first arrival of a request's
-last byte at any node takes its units, whatever the node answers and however many attempts follow.  The bucket
-may be overdrawn by the plan's tolerance and by what the limit allows in `SOCKET_SLACK`.
+Each volume has one token bucket for the whole fleet, full at the start.  The first arrival of a complete
+request at any node takes its units; the node's answer and later attempts have no effect.  The bucket may be
+overdrawn by the plan's tolerance and by the units that the rate allows in `SOCKET_SLACK`.
 """
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
 SOCKET_SLACK = 0.15
-"""Seconds of the limit's rate by which the tolerance grows on sockets."""
+"""Seconds by which sockets may delay arrivals; the tolerance grows by the rate's units in them."""
 ROUNDING = 1e-6
-"""Units by which sums of floats may be off."""
+"""Rounding error of summed units."""
 
 
 class VolumeLimit(NamedTuple):
@@ -24,7 +24,7 @@
 
 
 class UnitArrival(NamedTuple):
-    """A command's last byte came to a node."""
+    """The arrival of a command's last byte at a node."""
 
     at: float
     """Seconds."""
@@ -35,36 +35,36 @@
 
 
 class LimitBreach(NamedTuple):
-    """A request that took its volume past the limit and what is allowed beyond it."""
+    """A request that overdrew its volume's bucket by more than allowed."""
 
     arrival: UnitArrival
     overdraft: float
-    """Units under zero."""
+    """Units below zero."""
     allowed: float
 
     def __str__(self) -> str:
         request = f"request {self.arrival.op_id} at {self.arrival.node}"
-        return f"{request}: {self.overdraft:.1f} units under zero, {self.allowed:.1f} allowed"
+        return f"{request}: {self.overdraft:.1f} units below zero, {self.allowed:.1f} allowed"
 
 
 class LimitVerdict(NamedTuple):
-    """The breaches of a run, and how near it came to one."""
+    """The breaches of a run and its largest overdraft."""
 
     breaches: list[LimitBreach]
     largest_overdraft: float
-    """Units under zero; 0: never."""
+    """Units below zero; 0 if the bucket was never overdrawn."""
 
 
 def judge_limits(
     arrivals: Iterable[UnitArrival], limits: Mapping[str, VolumeLimit], begin: float, lag: float
 ) -> LimitVerdict:
-    """Plays the bucket of each volume over a run's arrivals.
+    """Replays a run's arrivals against each volume's bucket.
 
     Args:
         arrivals: In any order.
-        limits: By volume; others have none.
+        limits: By volume; other volumes have no limit.
         begin: When all buckets were full, in seconds.
-        lag: Seconds by which the observer was late at the most; it takes arrivals for closer than they were.
+        lag: The observer's largest delay in seconds; late observation makes arrivals look closer together.
     """
     levels = {volume: limit.burst for volume, limit in limits.items()}
     updated_at = dict.fromkeys(limits, begin)
--- a/rushmux/standins/limit_soak.py
+++ b/rushmux/standins/limit_soak.py
@@ -1,8 +1,8 @@
-"""A drawn run of several gateways as real processes, judged by the limits of volumes over all of them.
+"""Randomized runs of several gateway processes that check the volumes' limits over all of them.
 
-Drawn from a seed: the limit, how nodes tell usage, restarts one after another, a quiet time before a
-burst, commands or connections that reach nodes late, processes that stand still, reloads.  `limit_judge`
-judges what nodes received.
+A seed determines the limit, how nodes report usage, consecutive restarts, an idle time before a burst,
+commands or connections that reach nodes late, stalled processes and reloads.  `limit_judge` checks what the
+nodes received.
 """
 
 import asyncio
@@ -17,27 +17,27 @@
 from rushmux.standins.platform.gateway_process import GATEWAY_ARGUMENTS, GatewayProcess, free_gateway_port
 from rushmux.standins.platform.metered_node import Meter, MeteredNode, NodeFault
 
-READY_WITHIN = 10.0
+READY_TIMEOUT = 10.0
 """Seconds from a start to the first PONG."""
 LAG_INTERVAL = 0.01
 MAX_UNITS = 8
 SHARED_VOLUME, SINGLE_VOLUME = 1, 2
-"""One that comes through all gateways, one through the first alone."""
+"""Ids of a volume used through all gateways, and of one used through the first only."""
 CLIENTS_PER_GATEWAY = 10
 RECONNECT_INTERVAL = 0.02
 STALL_TIME = (0.15, 0.4)
-"""Least and most seconds for which a process stands still."""
+"""Shortest and longest stall of a process, in seconds."""
 TIME_BETWEEN_RESTARTS = 0.3
-"""Seconds of load that a gateway has after each restart."""
+"""Seconds of load after each restart."""
 DIAL_TIMEOUT = 2.5
-"""Seconds: over the second after which a system repeats a connect."""
+"""Seconds: more than the one second after which the operating system repeats a connect."""
 NS_PER_SECOND = 1_000_000_000
 MS_PER_SECOND = 1000
 
 
 @dataclass
 class LimitScenario:
-    """What a run is made of; times in seconds."""
+    """The settings of a run; times in seconds."""
 
     limit: VolumeLimit
     gateway_count: int = 2
@@ -45,18 +45,18 @@
     meter: Meter = Meter.STEADY
     fault: NodeFault = NodeFault.NONE
     units: tuple[int, ...] = (1, 1, 2, 4, MAX_UNITS)
-    """Sizes that clients choose from."""
+    """Sizes of operations that clients choose from."""
     fault_time: tuple[float, float] = (0.3, 1.3)
-    """Least and most for which nodes take commands late."""
+    """Shortest and longest delay of commands to nodes."""
     service_time: float = 0.02
-    """The most that a node takes for a command."""
+    """The longest that a node takes for a command."""
     deadline: float = 1.0
     load_time: float = 3.0
-    """From the first burst, and from the one after the quiet time."""
+    """Duration of each burst."""
     quiet_time: float = 0.0
-    """Between two bursts; 0: one burst."""
+    """Idle time between two bursts; 0: a single burst."""
     restarts: int = 0
-    """In a row, of each gateway that restarts."""
+    """Consecutive restarts of each gateway that restarts."""
     restarted_gateways: int = 1
     restart_signal: signal.Signals = signal.SIGKILL
     stalls: int = 0
@@ -70,15 +70,15 @@
     requests: int
     arrivals: int
     largest_overdraft: float
-    """Units under zero."""
+    """Units below zero."""
     breaches: list[LimitBreach]
     problems: list[str]
-    """What else went wrong."""
+    """Other errors."""
     logs: str
 
 
 def draw_scenario(seed: int) -> LimitScenario:
-    """The scenario of a seed."""
+    """Draws the scenario of a seed."""
     rng = random.Random(f"limit {seed}")
     gateway_count = rng.randint(1, 4)
     rate = rng.choice((2.0, 5.0, 20.0))
@@ -106,10 +106,10 @@
     """One run.
 
     Args:
-        scenario: What happens.
-        seed: Seeds the course.
-        folder: Where configurations lie.
-        arguments: Of the interpreter, that start a gateway.
+        scenario: Its settings.
+        seed: Seeds all other random draws.
+        folder: Directory for the configuration files.
+        arguments: Interpreter arguments that start a gateway.
     """
 
     def __init__(
@@ -129,28 +129,28 @@
         self._discovery = FakeDiscovery()
         self._longest_lag = 0.0
         self._request_count = 0
-        self._is_serving = True
-        self._load = asyncio.Event()
+        self._clients_active = True
+        self._load_active = asyncio.Event()
 
     async def run(self) -> LimitOutcome:
-        """Plays and judges the run."""
+        """Executes and judges the run."""
         self._loop = asyncio.get_running_loop()
-        await self._open()
+        await self._open_stand_ins()
         begin = self._loop.time()
         tasks = [self._loop.create_task(self._watch_lag())]
         try:
             await self._start_gateways()
             tasks += self._start_clients()
-            await self._play()
+            await self._run_steps()
         finally:
-            self._is_serving = False
+            self._clients_active = False
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
             await self._close()
         return self._judge(begin)
 
-    async def _open(self) -> None:
+    async def _open_stand_ins(self) -> None:
         scenario = self.scenario
         await self._discovery.open()
         for cell in range(scenario.node_count):
@@ -196,9 +196,9 @@
             await self._check_ready(gateway)
 
     async def _check_ready(self, gateway: GatewayProcess) -> None:
-        if not await gateway.is_ready(READY_WITHIN):
+        if not await gateway.is_ready(READY_TIMEOUT):
             state = f"exit code {gateway.process.returncode}"
-            self.problems.append(f"{gateway.name} is not ready within {READY_WITHIN:g} s: {state}")
+            self.problems.append(f"{gateway.name} was not ready within {READY_TIMEOUT:g} s: {state}")
 
     async def _watch_lag(self) -> None:
         while True:
@@ -206,24 +206,24 @@
             await asyncio.sleep(LAG_INTERVAL)
             self._longest_lag = max(self._longest_lag, self._loop.time() - due)
 
-    # The course.
+    # Steps of a run.
 
-    async def _play(self) -> None:
+    async def _run_steps(self) -> None:
         scenario = self.scenario
-        self._load.set()
-        troubles = [self._loop.create_task(self._trouble(scenario.load_time))]
+        self._load_active.set()
+        faults = [self._loop.create_task(self._inject_faults(scenario.load_time))]
         await asyncio.sleep(scenario.load_time)
         if scenario.quiet_time:
-            self._load.clear()
+            self._load_active.clear()
             await asyncio.sleep(scenario.quiet_time)
-            self._load.set()
-            troubles.append(self._loop.create_task(self._trouble(scenario.load_time)))
+            self._load_active.set()
+            faults.append(self._loop.create_task(self._inject_faults(scenario.load_time)))
             await asyncio.sleep(scenario.load_time)
-        # The platform sends no SIGHUP in a process's first second: it would end one that has no handler yet.
-        await asyncio.gather(*troubles)
-        await self._restart_in_a_row()
+        # As on the platform, no SIGHUP in a process's first second: without a handler yet, it would exit.
+        await asyncio.gather(*faults)
+        await self._restart_gateways()
 
-    async def _restart_in_a_row(self) -> None:
+    async def _restart_gateways(self) -> None:
         for _ in range(self.scenario.restarts):
             chosen = self._gateways[: self.scenario.restarted_gateways]
             await asyncio.gather(*(self._restart(gateway) for gateway in chosen))
@@ -236,10 +236,10 @@
         await gateway.start()
         await self._check_ready(gateway)
 
-    async def _trouble(self, duration: float) -> None:
-        """What happens to nodes and processes during a burst."""
+    async def _inject_faults(self, duration: float) -> None:
+        """Delays commands to nodes, and stalls and reloads gateways, during a burst."""
         until = self._loop.time() + duration
-        jobs = [asyncio.ensure_future(self._delay_nodes(node)) for node in self._nodes]
+        delays = [asyncio.ensure_future(self._delay_nodes(node)) for node in self._nodes]
         for _ in range(self.scenario.stalls + self.scenario.reloads):
             await asyncio.sleep(max(0.0, self._rng.uniform(0, until - self._loop.time())))
             gateway = self._rng.choice(self._gateways)
@@ -249,12 +249,12 @@
                 gateway.send_signal(signal.SIGSTOP)
                 await asyncio.sleep(self._rng.uniform(*STALL_TIME))
                 gateway.send_signal(signal.SIGCONT)
-        await asyncio.gather(*jobs)
+        await asyncio.gather(*delays)
 
     async def _delay_nodes(self, node: MeteredNode) -> None:
-        await node.misbehave(self._rng.uniform(*self.scenario.fault_time))
+        await node.inject_fault(self._rng.uniform(*self.scenario.fault_time))
         await asyncio.sleep(self._rng.uniform(0, 1))
-        await node.misbehave(self._rng.uniform(*self.scenario.fault_time))
+        await node.inject_fault(self._rng.uniform(*self.scenario.fault_time))
 
     # Clients.
 
@@ -266,23 +266,23 @@
         ]
 
     async def _client(self, gateway: GatewayProcess, number: int, seed: float) -> None:
-        """Asks again and again, on one connection after another."""
+        """Sends requests on one connection after another."""
         rng = random.Random(seed)
-        while self._is_serving:
-            await self._load.wait()
+        while self._clients_active:
+            await self._load_active.wait()
             try:
                 connection = await FakeClient().open(gateway.port)
             except OSError:
                 await asyncio.sleep(RECONNECT_INTERVAL)
                 continue
             try:
-                await self._use(connection, number, rng)
+                await self._send_requests(connection, number, rng)
             finally:
                 connection.close()
 
-    async def _use(self, connection: FakeClient, number: int, rng: random.Random) -> None:
-        while self._is_serving:
-            await self._load.wait()
+    async def _send_requests(self, connection: FakeClient, number: int, rng: random.Random) -> None:
+        while self._clients_active:
+            await self._load_active.wait()
             count = rng.choice((1, 1, 3))
             for _ in range(count):
                 connection.send(*self._command(number, rng))
@@ -306,7 +306,7 @@
             hosts=1 if single else self.scenario.gateway_count,
         )
 
-    # The end.
+    # End of a run.
 
     async def _close(self) -> None:
         for gateway in self._gateways:
--- a/rushmux/standins/platform/__init__.py
+++ b/rushmux/standins/platform/__init__.py
@@ -1,6 +1,6 @@
 """Stand-ins for the platform on loopback: storage nodes, discovery, clients, and a configuration.
 
-What a node or discovery does with a request is given by a script: a function that returns steps.
+A script, a function that returns steps, defines how a node or discovery responds to a request.
 """
 
 from rushmux.standins.platform.client import FakeClient
--- a/rushmux/standins/platform/client.py
+++ b/rushmux/standins/platform/client.py
@@ -1,4 +1,4 @@
-"""A client of the gateway."""
+"""A fake client of the gateway."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     """A client's connection.
 
     Attributes:
-        was_reset: Whether the connection ended by a reset, and not in order.
-        replies_received: Replies so far.
+        was_reset: Whether the connection ended with a reset rather than a normal close.
+        replies_received: Number of replies so far.
     """
 
     def __init__(self):
@@ -25,7 +25,7 @@
         self.replies_received = 0
 
     async def open(self, port: int) -> FakeClient:
-        """Connects to a gateway on loopback."""
+        """Connects to the gateway at a port of the loopback interface."""
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
         return self
 
@@ -34,7 +34,11 @@
         self.writer.write(encode_command(arguments))
 
     async def reply(self, within: float = 5.0) -> tuple | None:
-        """Returns kind and value of the next reply; None: the connection ended.  TimeoutError."""
+        """Returns the kind and value of the next reply, or None if the connection ended.
+
+        Raises:
+            TimeoutError: No reply arrived `within` so many seconds.
+        """
         async with asyncio.timeout(within):
             while (reply := self.reply_reader.next_reply()) is None:
                 try:
--- a/rushmux/standins/platform/configuration.py
+++ b/rushmux/standins/platform/configuration.py
@@ -1,4 +1,4 @@
-"""A gateway's configuration, and the platform's settings in it."""
+"""A gateway's configuration, including the platform's settings."""
 
 NS_PER_MS = 1_000_000
 
@@ -13,16 +13,16 @@
     shards: int = 4,
     **limits,
 ) -> dict:
-    """Returns settings in the form of the simulator's first message, with times that suit a test.
+    """Returns settings in the format of the simulator's first message, with times suited to tests.
 
     Args:
-        plan: Values of the plan that differ.
+        plan: Values that override those of the plan.
         deadline: Of both request classes, in milliseconds.
-        objective: Of both request classes, in milliseconds.
-        dedup_window: Of the keyed one, in milliseconds.
-        gateways: How many share a volume.
-        shards: How many cells there are.
-        limits: Values of the limits that differ.
+        objective: Latency objective of both request classes, in milliseconds.
+        dedup_window: Of the keyed request class, in milliseconds.
+        gateways: Number of gateways that share a volume.
+        shards: Number of cells.
+        limits: Values that override those of `Limits`.
     """
     return {
         "Classes": [
@@ -95,7 +95,7 @@
 def configuration(
     discovery_port: int, known_rows: list[dict], listen_port: int = 0, *, sockets: int = 256, **options
 ) -> dict:
-    """Returns what a gateway finds in its file; `options` are those of `settings`."""
+    """Returns the content of a gateway's configuration file; `options` are passed to `settings`."""
     return {
         "name": "n0",
         "listen": f"127.0.0.1:{listen_port or 1}",
--- a/rushmux/standins/platform/discovery.py
+++ b/rushmux/standins/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the endpoint list, its changes, and failures on request."""
+"""Fake discovery: serves the endpoint list and its changes, with failures on request."""
 
 import asyncio
 import contextlib
@@ -8,24 +8,23 @@
 from collections.abc import Callable, Iterable
 
 SILENCE_CHECK_INTERVAL = 0.01
-"""Seconds between two checks whether it is still silent."""
-MILLISECONDS = 1000
-"""In a second."""
+"""Seconds between two checks of `is_silent`."""
+MS_PER_SECOND = 1000
 
 
 class FakeDiscovery:
     """Discovery on loopback.
 
     Attributes:
-        rows: The list, by node.
+        rows: The endpoint list, by node id.
         changes: All changes so far, each with its version.
         requests: Time and target of each request.
-        is_silent: Whether it does not answer.
-        malformed_body: Sent in place of the list.
-        indent: Of the JSON.
-        script: Returns the steps of a response, given the target and the body: as a fake node's, and besides
-            "reset", and events, which are waited for.
-        changed: Set, and replaced, with each change.
+        is_silent: Whether requests get no response.
+        malformed_body: Body sent instead of the list.
+        indent: Indentation of the JSON.
+        script: Returns the steps of a response, given the target and the body: bytes to send, seconds to
+            wait, "close", "reset", or events to wait for.
+        changed: Set and replaced at each change.
     """
 
     def __init__(self):
@@ -47,7 +46,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def update(self, *rows: dict) -> None:
-        """Changes rows of the list, as one version."""
+        """Adds, changes or removes rows of the list as one new version."""
         self.version += 1
         for row in rows:
             self.rows[row["id"]] = row
@@ -64,9 +63,9 @@
                 self.requests.append((asyncio.get_running_loop().time(), target))
                 while self.is_silent:
                     await asyncio.sleep(SILENCE_CHECK_INTERVAL)
-                body = await self._body_of(target)
+                body = await self._list_body(target)
                 if self.script is None:
-                    writer.write(self._response_of(body))
+                    writer.write(self._encode_response(body))
                 elif not await self._run_script(self.script(target, json.dumps(body).encode()), writer):
                     return
         except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
@@ -75,7 +74,7 @@
             writer.close()
 
     async def _run_script(self, steps: Iterable, writer: asyncio.StreamWriter) -> bool:
-        # Returns whether the connection goes on.
+        # Returns whether the connection stays open.
         for step in steps:
             if step == "reset":
                 no_linger = struct.pack("ii", 1, 0)
@@ -95,18 +94,18 @@
                 await asyncio.sleep(step)
         return True
 
-    async def _body_of(self, target: str) -> dict:
+    async def _list_body(self, target: str) -> dict:
         query = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
         if "after" not in query:
             return {"version": self.version, "full": True, "servers": list(self.rows.values())}
         after = int(query["after"])
         if after == self.version:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.changed.wait(), int(query["wait_ms"]) / MILLISECONDS)
+                await asyncio.wait_for(self.changed.wait(), int(query["wait_ms"]) / MS_PER_SECOND)
         rows = [row for version, row in self.changes if version > after]
         return {"version": self.version, "full": False, "servers": rows}
 
-    def _response_of(self, body: dict) -> bytes:
+    def _encode_response(self, body: dict) -> bytes:
         text = self.malformed_body
         if text is None:
             text = json.dumps(body, indent=self.indent).encode()
--- a/rushmux/standins/platform/gateway_process.py
+++ b/rushmux/standins/platform/gateway_process.py
@@ -1,4 +1,4 @@
-"""A gateway as a real process on loopback."""
+"""A gateway process on loopback."""
 
 from __future__ import annotations
 
@@ -18,38 +18,38 @@
 
 GATEWAY_ARGUMENTS = ("-m", "rushmux.gateway")
 READY_POLL_INTERVAL = 0.05
-"""Seconds between two attempts to reach a gateway that is starting."""
-FIRST_PORT, LAST_PORT = 20_000, 32_000
-"""Below those that the system gives to connections: one on its way to a gateway that is down could get the
-gateway's own port, connect to itself, and keep the gateway from listening."""
+"""Seconds between two attempts to reach a starting gateway."""
+MIN_PORT, MAX_PORT = 20_000, 32_000
+"""Below the ephemeral ports: a connection attempt to a stopped gateway could be assigned the gateway's own
+port as its local port, connect to itself and keep the gateway from listening."""
 
 
 def free_gateway_port() -> int:
-    """Returns a port on which nothing listens; OSError."""
-    # Not from a run's seed: runs of one seed beside each other would get the same ports.
-    chance = random.SystemRandom()
-    for port in chance.sample(range(FIRST_PORT, LAST_PORT), LAST_PORT - FIRST_PORT):
+    """Returns a port on which nothing listens, or raises OSError."""
+    # Not seeded: concurrent runs of the same seed would choose the same ports.
+    rng = random.SystemRandom()
+    for port in rng.sample(range(MIN_PORT, MAX_PORT), MAX_PORT - MIN_PORT):
         with socket.socket() as candidate, contextlib.suppress(OSError):
             candidate.bind(("127.0.0.1", port))
             return port
-    raise OSError(f"no port from {FIRST_PORT} to {LAST_PORT} is free")
+    raise OSError(f"no port from {MIN_PORT} to {MAX_PORT} is free")
 
 
 class GatewayProcess:
-    """One gateway, which may be started again from nothing at the same address.
+    """A gateway that can be restarted, without any earlier state, at the same address.
 
     Attributes:
-        log: What its earlier starts wrote to standard error.
+        log: Standard error of all processes that have ended.
     """
 
     def __init__(self, name: str, file: Path, port: int, arguments: Sequence[str] = GATEWAY_ARGUMENTS):
-        """Describes a gateway.
+        """Describes a gateway without starting it.
 
         Args:
-            name: Its name.
-            file: Where its configuration lies.
-            port: Where it listens.
-            arguments: Of the interpreter, that start it.
+            name: The gateway's name.
+            file: Its configuration file.
+            port: The port in its configuration.
+            arguments: Interpreter arguments that start it.
         """
         self.name = name
         self.file = file
@@ -60,11 +60,11 @@
         self._reader: asyncio.Task | None = None
 
     def write_configuration(self, raw: dict) -> None:
-        """Replaces its configuration."""
+        """Replaces the configuration file."""
         self.file.write_text(json.dumps(raw))
 
     async def start(self) -> None:
-        """Starts it, with nothing of an earlier start."""
+        """Starts a new process."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             *self.arguments,
@@ -74,7 +74,7 @@
         self._reader = asyncio.ensure_future(self.process.stderr.read())
 
     async def is_ready(self, within: float) -> bool:
-        """Whether it answers PING within so many seconds."""
+        """Returns whether the gateway answers PING within so many seconds."""
         loop = asyncio.get_running_loop()
         until = loop.time() + within
         while loop.time() < until and self.process.returncode is None:
@@ -88,12 +88,12 @@
         return False
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends a signal, unless it has ended."""
+        """Sends a signal unless the process has ended."""
         if self.process.returncode is None:
             self.process.send_signal(number)
 
     async def end(self) -> int:
-        """Kills it if it lives, and returns its exit code."""
+        """Kills the process if it is still running and returns its exit code."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
--- a/rushmux/standins/platform/messages.py
+++ b/rushmux/standins/platform/messages.py
@@ -1,19 +1,19 @@
-"""Usual commands of clients and a usual reply of a node."""
+"""Typical commands of clients and a node's success reply."""
 
 from rushmux.resp import encode_bulk
 
 NULL = b"$-1\r\n"
-BLOCK_OFFSET = 4096
-"""What a command's block has over its operation's number."""
+BLOCK_NUMBER_OFFSET = 4096
+"""Difference between a command's block number and its operation's number."""
 
 
 def success_reply(value: bytes = b"data", used: bytes = NULL, load: bytes = NULL) -> bytes:
-    """Returns a node's reply that holds a value; `used` and `load` are encoded elements."""
+    """Returns a node's reply with a value; `used` and `load` are encoded elements."""
     return b"*3\r\n" + encode_bulk(value) + used + load
 
 
 def option_of(arguments: list[bytes], name: str) -> str:
-    """Returns the value of one of a command's options."""
+    """Returns the value of a command's option."""
     options = dict(option.split(b"=") for option in arguments[3].split(b","))
     return options[name.encode()].decode()
 
@@ -29,13 +29,19 @@
     units: float = 1,
     hosts: int = 1,
 ) -> list[bytes]:
-    """Returns the arguments of a read; `time_left` in milliseconds."""
+    """Returns the arguments of a read; `time_left` is in milliseconds."""
     size = f"volume={volume:016x},units={units},shard={cell},hosts={hosts}"
     options = f"c={request_class},t={plan},d={time_left},{size}"
-    return [b"BLK.READ", b"%016x" % (number + BLOCK_OFFSET), b"%016x" % number, options.encode()]
+    return [b"BLK.READ", b"%016x" % (number + BLOCK_NUMBER_OFFSET), b"%016x" % number, options.encode()]
 
 
 def write_command(number: int, *, cell: int = 0, time_left: int = 900, data: bytes = b"body") -> list[bytes]:
-    """Returns the arguments of a write; `time_left` in milliseconds."""
+    """Returns the arguments of a write; `time_left` is in milliseconds."""
     options = f"c=write,t=base,d={time_left},k={number:016x},volume={1:016x},units=1,shard={cell},hosts=1"
-    return [b"BLK.WRITE", b"%016x" % (number + BLOCK_OFFSET), b"%016x" % number, options.encode(), data]
+    return [
+        b"BLK.WRITE",
+        b"%016x" % (number + BLOCK_NUMBER_OFFSET),
+        b"%016x" % number,
+        options.encode(),
+        data,
+    ]
--- a/rushmux/standins/platform/metered_node.py
+++ b/rushmux/standins/platform/metered_node.py
@@ -1,4 +1,4 @@
-"""A storage node that notes when units come, tells usage in drawn ways, and takes commands late."""
+"""A fake storage node that records when units arrive, with faults in its usage reports and connections."""
 
 from __future__ import annotations
 
@@ -17,46 +17,46 @@
 from rushmux.standins.platform.node import FakeNode, NodeServerConnection
 
 BUSY, FAILED = b"-BUSY\r\n", b"-ERR failed\r\n"
-METER_CHANGE = 2.0
-"""Seconds from the start until a meter that comes or goes does so."""
-MAX_USAGE = 300
-"""Percent, of an untrue figure."""
-USUAL_FIGURE = encode_bulk(b"used=40")
-MALFORMED_FIGURES = (encode_bulk(b"used=x"), encode_bulk(b""), NULL)
+METER_CHANGE_TIME = 2.0
+"""Seconds from the start until a LATE meter begins to report and a LOST one stops."""
+MAX_UNTRUE_USAGE = 300
+"""Percent."""
+VALID_USAGE = encode_bulk(b"used=40")
+MALFORMED_USAGE = (encode_bulk(b"used=x"), encode_bulk(b""), NULL)
 ACCEPT_BACKLOG = 100
 BLOCKING_CONNECTIONS = 2
-"""They fill the accept queue of a listener with a backlog of 0."""
+"""Connections that fill the accept queue of a listener with a backlog of 0."""
 
 
 class Meter(StrEnum):
-    """How a node tells the fleet's usage of a volume."""
+    """How a node reports the fleet's usage of a volume."""
 
     STEADY = "steady"
     MISSING = "missing"
     LATE = "late"
-    """No figure at first."""
+    """Nothing at first."""
     LOST = "lost"
-    """A figure at first, then none."""
+    """Nothing after some time."""
     FLICKERING = "flickering"
     UNTRUE = "untrue"
-    """Any figure, of any time."""
+    """Random values."""
     MALFORMED = "malformed"
 
 
 class NodeFault(StrEnum):
-    """What is wrong with a node beside its meter."""
+    """A node's fault apart from its meter."""
 
     NONE = "none"
     ERRORS = "errors"
-    """It rejects, fails and closes connections."""
+    """Commands are rejected, fail, hang, or have their connection closed."""
     HELD = "held"
-    """Commands are on their way to it for some time and arrive together.
+    """Commands are delayed in transit and arrive together.
 
-    Nothing arrives of a connection that its gateway ended meanwhile.  Commands that wait unread in a node's
-    own socket have come to it: a node that hangs is no such fault.
+    Those on a connection that the gateway closed meanwhile never arrive.  This differs from a node that hangs:
+    commands that it leaves unread in its socket have arrived.
     """
     LATE_CONNECTIONS = "late connections"
-    """New connections come up late, together."""
+    """New connections are established late and together."""
 
 
 class _HoldableConnection(NodeServerConnection):
@@ -69,24 +69,24 @@
 
 
 def _has_ended(connection: NodeServerConnection) -> bool:
-    # Whether the other side closed or reset it, read or not.
+    # Whether the peer closed or reset the connection, even with data still unread.
     poll = select.poll()
     poll.register(connection.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 class MeteredNode(FakeNode):
-    """A storage node that notes when units come.
+    """A fake storage node that records when units arrive.
 
     Attributes:
-        is_held: Whether it reads nothing just now.
-        arrivals: Each command's arrival, with its units.
+        is_held: Whether commands are held back at the moment.
+        arrivals: Each command's arrival and units.
     """
 
     def __init__(
         self, name: str, meter: Meter, fault: NodeFault, rng: random.Random, service_time: float = 0.02
     ):
-        """Makes a node; `service_time`: the most seconds that a command takes."""
+        """Creates a node; `service_time` is the longest that a command takes, in seconds."""
         super().__init__(self._respond)
         self.service_time = service_time
         self.name = name
@@ -102,7 +102,7 @@
         self.is_held = False
 
     async def open(self, port: int = 0) -> None:
-        """Listens; 0: on any free port."""
+        """Listens on a port; 0 chooses a free one."""
         self._listener = socket.create_server(("127.0.0.1", port), backlog=ACCEPT_BACKLOG)
         self._listener.setblocking(False)
         self.port = self._listener.getsockname()[1]
@@ -122,28 +122,28 @@
         self.arrivals.append(UnitArrival(self._loop.time(), volume, op_id, units, self.name))
         delay = self._rng.uniform(0, self.service_time)
         if self.fault is NodeFault.ERRORS:
-            steps = ([success_reply(used=self._usage())], [BUSY], [FAILED], ["close"], ["hang"])
+            steps = ([success_reply(used=self._usage_element())], [BUSY], [FAILED], ["close"], ["hang"])
             return [delay, *self._rng.choices(steps, (60, 10, 10, 10, 10))[0]]
-        return [delay, success_reply(used=self._usage())]
+        return [delay, success_reply(used=self._usage_element())]
 
-    def _usage(self) -> bytes:
-        # The element of a reply that tells the fleet's usage, or null.
-        figure = USUAL_FIGURE
-        has_changed = self._loop.time() - self._started_at > METER_CHANGE
+    def _usage_element(self) -> bytes:
+        # The reply's element with the fleet's usage, or null.
+        usage = VALID_USAGE
+        has_changed = self._loop.time() - self._started_at > METER_CHANGE_TIME
         if self.meter is Meter.UNTRUE:
-            figure = encode_bulk(b"used=%d" % self._rng.randrange(MAX_USAGE))
+            usage = encode_bulk(b"used=%d" % self._rng.randrange(MAX_UNTRUE_USAGE))
         elif self.meter is Meter.MALFORMED:
-            figure = self._rng.choice(MALFORMED_FIGURES)
+            usage = self._rng.choice(MALFORMED_USAGE)
         is_missing = {
             Meter.MISSING: True,
             Meter.LATE: not has_changed,
             Meter.LOST: has_changed,
             Meter.FLICKERING: self._rng.random() < 1 / 2,
         }
-        return NULL if is_missing.get(self.meter, False) else figure
+        return NULL if is_missing.get(self.meter, False) else usage
 
-    async def misbehave(self, duration: float) -> None:
-        """Takes commands or connections late for so many seconds, if that is its fault."""
+    async def inject_fault(self, duration: float) -> None:
+        """Delays commands or connections for so many seconds if that is the node's fault."""
         if self.fault is NodeFault.HELD:
             self._hold(True)
             await asyncio.sleep(duration)
@@ -164,8 +164,7 @@
                 connection.transport.resume_reading()
 
     def _block_connects(self) -> None:
-        # Past the accept queue the system leaves a connect unanswered, and the client's system asks again
-        # after a second.
+        # The kernel ignores connects while the accept queue is full; the client's kernel retries after 1 s.
         self._loop.remove_reader(self._listener)
         self._listener.listen(0)
         for _ in range(BLOCKING_CONNECTIONS):
@@ -173,7 +172,7 @@
             blocker.setblocking(False)
             blocker.connect_ex(("127.0.0.1", self.port))
             self._blockers.append(blocker)
-        for connection in list(self.connections):  # what is open would be used in place of a new one
+        for connection in list(self.connections):  # gateways would reuse open connections
             connection.transport.abort()
 
     def _unblock_connects(self) -> None:
--- a/rushmux/standins/platform/node.py
+++ b/rushmux/standins/platform/node.py
@@ -1,4 +1,4 @@
-"""A storage node that counts what it does."""
+"""A fake storage node with scripted responses and counters."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from rushmux.standins.platform.messages import success_reply
 
 HANG_TIME = 60
-"""Seconds that a command hangs: longer than a test."""
+"""Seconds that a command hangs; longer than a test."""
 
 
 def _serve(arguments: list[bytes]) -> Iterable:
@@ -26,7 +26,7 @@
         self.task: asyncio.Task | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Counts it."""
+        """Registers the connection with its node."""
         self.transport = transport
         self.node.connections[self] = True
         self.node.connections_opened += 1
@@ -55,22 +55,22 @@
             self.node.running -= 1
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stops its script."""
+        """Unregisters the connection and cancels its last script."""
         self.node.connections.pop(self, None)
         if self.task is not None:
-            self.task.cancel()  # a node stops what its gateway gave up
+            self.task.cancel()  # like a real node, which stops work that the gateway abandoned
 
 
 class FakeNode:
     """A storage node on loopback.
 
     Attributes:
-        script: Returns the steps of a command, given its arguments: bytes to send, seconds to wait, "close"
-            or "hang".
+        script: Returns the steps of a response, given the command's arguments: bytes to send, seconds to
+            wait, "close" or "hang".
         received: The arguments of each command.
-        running: Commands whose script is not over.
-        max_running: The most that ever ran at a time.
-        connections_opened: Connections since the start.
+        running: Number of commands whose script is running.
+        max_running: Largest value of `running` so far.
+        connections_opened: Number of connections accepted so far.
     """
 
     def __init__(self, script: Callable[[list[bytes]], Iterable] = _serve):
@@ -84,13 +84,13 @@
         self.server: asyncio.Server | None = None
 
     async def open(self, port: int = 0) -> None:
-        """Listens; 0: on any free port."""
+        """Listens on a port; 0 chooses a free one."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: NodeServerConnection(self), "127.0.0.1", port)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def row(self, name: str, cell: int, state: str = "up", started_ms: int = 0) -> dict:
-        """Returns its row in discovery's list."""
+        """Returns the node's row in discovery's list."""
         return {
             "id": name,
             "addr": f"127.0.0.1:{self.port}",
--- a/rushmux/standins/usage_meter.py
+++ b/rushmux/standins/usage_meter.py
@@ -1,13 +1,13 @@
-"""What a stand-in node served for each folder, as its replies report it to the edges."""
+"""Units that a stand-in node served for each folder, as its replies report them to the edges."""
 
 from collections import OrderedDict
 
 MAX_FOLDERS = 100_000
-"""Folders whose units are counted in a period, and pairs of folder and edge that are remembered."""
+"""Most folders counted in a period, and most pairs of folder and edge that are kept."""
 
 
 class UsageMeter:
-    """Units served for each folder, in all and since each edge's last reply."""
+    """Counts the units served for each folder, in total and since each edge's last reply."""
 
     def __init__(self) -> None:
         self._total: dict[str, float] = {}
@@ -15,7 +15,7 @@
         self._period: dict[str, float] = {}
 
     def add(self, folder: str, edge: str, units: float) -> float:
-        """Counts a served attempt; the units that other edges had served since this edge's last reply."""
+        """Counts a served attempt; returns the units served to other edges since this edge's last reply."""
         total = self._total[folder] = self._total.get(folder, 0.0) + units
         before = self._reported.pop((folder, edge), 0.0)
         self._reported[folder, edge] = total
@@ -26,6 +26,6 @@
         return max(0.0, total - units - before)
 
     def take_period(self) -> dict[str, float]:
-        """Units by folder since the last call."""
+        """Returns the units by folder since the last call."""
         period, self._period = self._period, {}
         return period
