--- a/rushmux/standins/kills.py
+++ b/rushmux/standins/kills.py
@@ -1,9 +1,8 @@
-"""Kills an edge in the middle of its write-back and checks what it had promised.
+"""Kills an edge during its write-back and checks the guarantees of flushes and barriers.
 
-A writer keeps slots of a few files filled with numbers that only grow, flushes some files and sets
-barriers.  After the kill the slots are read through another edge: each must hold one number, whole;
-none may be older than a flush or a barrier that was answered; and where one shows a number from
-after a barrier, all must show theirs from before it.
+A writer fills slots of a few files with increasing numbers, flushes files and sets barriers.  After the kill
+the slots are read through another edge.  Each must hold one complete number, no older than an acknowledged
+flush or barrier.  If any slot holds a number from after a barrier, all must have theirs from before it.
 """
 
 import asyncio
@@ -19,83 +18,83 @@
 from rushmux.standins.fleet_operations import FleetOperations
 
 FILES, SLOTS = 4, 6
-"""Files of a folder, and slots of a file."""
+"""Files in a folder, and slots in a file."""
 SLOT_SIZES = (700, 4_096, 30_000, 70_000)
-"""Bytes of a slot: within a block and over the ends of one."""
+"""Possible slot sizes in bytes: within a block and across block boundaries."""
 SLOT_GAPS = (0, 0, 5_000)
 BLOCK_SIZE = 262_144
 FIRST_SLOT = BLOCK_SIZE - 150_000
-"""Where the first slot lies: the slots lie around the end of a block."""
+"""Offset of the first slot, such that the slots lie around a block boundary."""
 NUMBER_BYTES = 8
-MAX_TRIES, RETRY_PAUSE = 40, 0.25
-"""Tries of a request until it succeeds, and seconds between them."""
+MAX_TRIES, RETRY_DELAY = 40, 0.25
+"""Attempts at a request until it succeeds, and seconds between them."""
 WRITE_CHANCE, FLUSH_CHANCE = 0.7, 0.15
-"""Of a step of the writer; what is left sets a barrier."""
+"""That a step of the writer is a write or a flush; the other steps set a barrier."""
 MAX_BATCH = 5
 PAUSE_CHANCE, PAUSES_PER_SECOND = 0.3, 10
-MIN_TIME_TO_KILL = 0.05
+MIN_KILL_DELAY = 0.05
 OTHER_WRITER_CHANCE, OTHER_WRITES = 0.5, 3
 SETTLE_TIME = 1.0
 EDGE, OTHER_EDGE = 0, 1
 
-Place = tuple[int, int]
-"""A file's number and a slot in it."""
+SlotKey = tuple[int, int]
+"""A file's index and the index of a slot in it."""
 Result = TypeVar("Result")
 
 
 class Write(NamedTuple):
-    """A write: its number and where it goes."""
+    """A write of a number to a slot of a file."""
 
     number: int
     file: int
     slot: int
 
     @property
-    def place(self) -> Place:
-        """Where it goes."""
+    def slot_key(self) -> SlotKey:
+        """The written slot's key."""
         return self.file, self.slot
 
 
 class RequestStuckError(Exception):
-    """A fleet that serves again should have done something, and did not."""
+    """A request still failed when the fleet should have recovered."""
 
 
 @dataclass
 class Barrier:
-    """A barrier: the number of the last write before it, and the newest answered number in each slot."""
+    """A barrier: the last number written before it, and the newest acknowledged number in each slot."""
 
     last_number: int
-    before: Mapping[Place, int]
+    before: Mapping[SlotKey, int]
 
 
 @dataclass
-class Promises:
-    """What the writer knows: its writes in order, those answered, and what flushes and barriers promise."""
+class Guarantees:
+    """The writes in order, those acknowledged, and what flushes and barriers guarantee."""
 
     writes: list[Write] = field(default_factory=list)
-    answered: set[int] = field(default_factory=set)
-    flushed: dict[Place, int] = field(default_factory=dict)
-    """The least number that must be found in a slot."""
+    acknowledged: set[int] = field(default_factory=set)
+    flushed: dict[SlotKey, int] = field(default_factory=dict)
+    """The lowest number that each slot may hold."""
     barriers: list[Barrier] = field(default_factory=list)
 
-    def newest_answered(self, file: int | None = None) -> dict[Place, int]:
-        """The newest answered number in each slot of a file, or of all."""
+    def newest_acknowledged(self, file: int | None = None) -> dict[SlotKey, int]:
+        """Returns the newest acknowledged number in each slot of a file, or of all files."""
         return {
-            write.place: write.number
+            write.slot_key: write.number
             for write in self.writes
-            if write.number in self.answered and file in (None, write.file)
+            if write.number in self.acknowledged and file in (None, write.file)
         }
 
 
 class Extent(NamedTuple):
-    """Where a slot lies in its file, bytes."""
+    """A slot's byte range in its file."""
 
     start: int
     size: int
 
 
 def draw_slots(rng: random.Random) -> list[Extent]:
-    """Where the slots of a file lie: none touches another, some lie over the end of a block."""
+    """Draws the slots of a file: none overlap, and some cross a block boundary."""
     slots, start = [], FIRST_SLOT
     for _ in range(SLOTS):
         size = rng.choice(SLOT_SIZES)
@@ -105,12 +104,12 @@
 
 
 def slot_content(number: int, size: int) -> bytes:
-    """A slot's bytes: the number over and over."""
+    """Returns a slot's bytes: the number, repeated."""
     return (number.to_bytes(NUMBER_BYTES, "big") * (size // NUMBER_BYTES + 1))[:size]
 
 
 def slot_number(content: bytes) -> int | None:
-    """The number that a slot holds, 0 where it was never written; None where it is not one, whole."""
+    """Returns a slot's number: 0 if never written, None if it isn't a single complete number."""
     content = bytes(content)
     whole = len(content) >= NUMBER_BYTES
     number = int.from_bytes(content[:NUMBER_BYTES], "big") if whole else 0
@@ -118,17 +117,17 @@
 
 
 class Writer:
-    """Writes, flushes and sets barriers in a folder until its edge dies.
+    """Writes, flushes and sets barriers in a folder until its edge is killed.
 
     Attributes:
-        promises: What it knows.
+        guarantees: Its writes and what the edge guaranteed of them.
 
     Args:
         client: A session with the edge.
-        folder: The folder.
-        slots: Where the slots of each file lie.
-        rng: Its random draws.
-        first_number: Its numbers begin after this one.
+        folder: The folder to write in.
+        slots: The slots of each file.
+        rng: Source of all random draws.
+        first_number: The numbers begin after this one.
     """
 
     def __init__(
@@ -139,13 +138,13 @@
         rng: random.Random,
         first_number: int,
     ):
-        self.promises = Promises()
+        self.guarantees = Guarantees()
         self._client, self._folder, self._slots, self._rng = client, folder, slots, rng
         self._last_number = first_number
         self._handles: list[bytes] = []
 
     async def run(self) -> None:
-        """Works until the connection ends, with ConnectionClosedError or OSError."""
+        """Runs until the connection ends, which raises ConnectionClosedError or OSError."""
         flags = sftp.READ | sftp.WRITE | sftp.CREATE
         for file in range(FILES):
             open_file = partial(self._client.open, f"/{self._folder}/k{file}", flags)
@@ -153,7 +152,7 @@
         while True:
             draw = self._rng.random()
             if draw < WRITE_CHANCE:
-                await self._write_some()
+                await self._write_batch()
             elif draw < WRITE_CHANCE + FLUSH_CHANCE:
                 await self._flush(self._rng.randrange(FILES))
             else:
@@ -161,13 +160,13 @@
             if self._rng.random() < PAUSE_CHANCE:
                 await asyncio.sleep(self._rng.expovariate(PAUSES_PER_SECOND))
 
-    async def _write_some(self) -> None:
-        """Writes to a few slots at the same time."""
+    async def _write_batch(self) -> None:
+        """Writes to a few slots concurrently."""
         batch = []
         for index in self._rng.sample(range(FILES * SLOTS), self._rng.randint(1, MAX_BATCH)):
             self._last_number += 1
             batch.append(Write(self._last_number, *divmod(index, SLOTS)))
-        self.promises.writes.extend(batch)
+        self.guarantees.writes.extend(batch)
         await asyncio.gather(*(self._write(write) for write in batch))
 
     async def _write(self, write: Write) -> None:
@@ -175,32 +174,32 @@
         content = slot_content(write.number, size)
         with contextlib.suppress(StatusError):
             await self._client.ask(sftp.Write, self._handles[write.file], start, content)
-            self.promises.answered.add(write.number)
+            self.guarantees.acknowledged.add(write.number)
 
     async def _flush(self, file: int) -> None:
-        covered = self.promises.newest_answered(file)
+        covered = self.guarantees.newest_acknowledged(file)
         with contextlib.suppress(StatusError):
-            await self._extended("fsync@openssh.com", self._handles[file])
-            self.promises.flushed.update(covered)
+            await self._send_extended("fsync@openssh.com", self._handles[file])
+            self.guarantees.flushed.update(covered)
 
     async def _set_barrier(self) -> None:
-        barrier = Barrier(self._last_number, self.promises.newest_answered())
-        self.promises.barriers.append(barrier)
+        barrier = Barrier(self._last_number, self.guarantees.newest_acknowledged())
+        self.guarantees.barriers.append(barrier)
         with contextlib.suppress(StatusError):
-            await self._extended("barrier@rushmux", f"/{self._folder}".encode())
-            self.promises.flushed.update(barrier.before)
+            await self._send_extended("barrier@rushmux", f"/{self._folder}".encode())
+            self.guarantees.flushed.update(barrier.before)
 
-    async def _extended(self, name: str, argument: bytes) -> None:
-        """An extended request with one string."""
+    async def _send_extended(self, name: str, argument: bytes) -> None:
+        """Sends an extended request with a string argument."""
         await self._client.ask(sftp.Extended, name, len(argument).to_bytes(4, "big") + argument)
 
 
 async def retry(request: Callable[[], Awaitable[Result]]) -> Result:
-    """The result of a request, retried while it fails for now.
+    """Returns the result of a request, retried while it fails temporarily.
 
     Raises:
-        StatusError: It failed for good.
-        RequestStuckError: It did not succeed in MAX_TRIES tries.
+        StatusError: The request failed permanently.
+        RequestStuckError: The request failed MAX_TRIES times.
     """
     for _ in range(MAX_TRIES):
         try:
@@ -208,19 +207,19 @@
         except StatusError as error:
             if error.status.code != sftp.FAILURE:
                 raise
-            await asyncio.sleep(RETRY_PAUSE)
-    raise RequestStuckError(f"{request} was refused {MAX_TRIES} times")
+            await asyncio.sleep(RETRY_DELAY)
+    raise RequestStuckError(f"{request} failed {MAX_TRIES} times")
 
 
 async def read_slots(
     client: Client, folder: str, slots: Sequence[Sequence[Extent]]
-) -> dict[Place, int | None]:
-    """The number in each slot; None where it is not one, whole."""
-    found: dict[Place, int | None] = {}
+) -> dict[SlotKey, int | None]:
+    """Returns the number in each slot; None if it isn't a single complete number."""
+    found: dict[SlotKey, int | None] = {}
     for file in range(FILES):
         try:
             handle = await retry(partial(client.open, f"/{folder}/k{file}", sftp.READ))
-        except StatusError:  # there is no such file
+        except StatusError:  # the file does not exist
             handle = None
         for slot, extent in enumerate(slots[file]):
             found[file, slot] = 0 if handle is None else await _read_slot(client, handle, extent)
@@ -230,80 +229,80 @@
 async def _read_slot(client: Client, handle: bytes, extent: Extent) -> int | None:
     try:
         return slot_number((await retry(partial(client.ask, sftp.Read, handle, *extent))).data)
-    except StatusError:  # past the end
+    except StatusError:  # past the file's end
         return 0
 
 
-def broken_promises(
-    promises: Promises, found: Mapping[Place, int | None], written: Mapping[Place, set[int]]
+def find_violations(
+    guarantees: Guarantees, found: Mapping[SlotKey, int | None], written: Mapping[SlotKey, set[int]]
 ) -> list[str]:
-    """What is wrong with what was found.
+    """Describes the slots that break a guarantee.
 
     Args:
-        promises: What the writer knows.
+        guarantees: The writes and their guarantees.
         found: The number in each slot.
-        written: All numbers that were ever written to each slot.
+        written: All numbers ever written to each slot.
     """
     errors = []
-    for place, number in found.items():
-        if number is None or (number and number not in written[place]):
-            errors.append(f"slot {place} holds {number}, never written there, or not whole")
-        elif number < promises.flushed.get(place, 0):
-            errors.append(f"slot {place} holds {number}; {promises.flushed[place]} was flushed")
-    for barrier in promises.barriers:
-        errors += _broken_barrier(barrier, found)
+    for slot_key, number in found.items():
+        if number is None or (number and number not in written[slot_key]):
+            errors.append(f"slot {slot_key} holds {number}, which was never written there or is incomplete")
+        elif number < guarantees.flushed.get(slot_key, 0):
+            errors.append(f"slot {slot_key} holds {number}; {guarantees.flushed[slot_key]} was flushed")
+    for barrier in guarantees.barriers:
+        errors += _barrier_violations(barrier, found)
     return errors
 
 
-def _broken_barrier(barrier: Barrier, found: Mapping[Place, int | None]) -> list[str]:
-    """Slots that lack a number from before a barrier though another holds one from after it."""
-    after = [place for place, number in found.items() if number and number > barrier.last_number]
+def _barrier_violations(barrier: Barrier, found: Mapping[SlotKey, int | None]) -> list[str]:
+    """Describes slots that lack a write from before a barrier although another has one from after it."""
+    after = [slot_key for slot_key, number in found.items() if number and number > barrier.last_number]
     if not after:
         return []
     return [
-        f"slot {place} holds {found[place]} and {after[0]} holds {found[after[0]]}, "
+        f"slot {slot_key} holds {found[slot_key]} and {after[0]} holds {found[after[0]]}, "
         f"from after the barrier at {barrier.last_number}; {number} came before it"
-        for place, number in barrier.before.items()
-        if found[place] is not None and found[place] < number
+        for slot_key, number in barrier.before.items()
+        if found[slot_key] is not None and found[slot_key] < number
     ]
 
 
 async def run_round(
     fleet: FleetOperations, folder: str, rng: random.Random, first_number: int, kill_window: float
 ) -> tuple[list[str], int]:
-    """One kill on a fleet that is up.
+    """Runs one round on a running fleet.
 
-    Writes through one edge, kills it, checks through another, has it started again and checks once more.
+    Writes through one edge, kills it, checks through another, restarts it and checks again.
 
     Args:
-        fleet: The fleet, with two edges.
-        folder: The folder that is used.
-        rng: All random draws.
+        fleet: A fleet with two edges.
+        folder: The folder to write in.
+        rng: Source of all random draws.
         first_number: The round's numbers begin after this one.
-        kill_window: Seconds within which the kill comes.
+        kill_window: Seconds within which the edge is killed.
 
     Returns:
-        What was wrong, and the round's last number.
+        The violations found, and the round's last number.
     """
     slots = [draw_slots(rng) for _ in range(FILES)]
     writer = Writer(await fleet.client(EDGE), folder, slots, rng, first_number)
-    promises = await _write_until_killed(fleet, writer, rng, kill_window)
-    written: dict[Place, set[int]] = {(file, slot): set() for file in range(FILES) for slot in range(SLOTS)}
-    for write in promises.writes:
-        written[write.place].add(write.number)
-    last_number = first_number + len(promises.writes)
+    guarantees = await _write_until_killed(fleet, writer, rng, kill_window)
+    written: dict[SlotKey, set[int]] = {(file, slot): set() for file in range(FILES) for slot in range(SLOTS)}
+    for write in guarantees.writes:
+        written[write.slot_key].add(write.number)
+    last_number = first_number + len(guarantees.writes)
     other = await fleet.client(OTHER_EDGE)
-    errors = broken_promises(promises, await read_slots(other, folder, slots), written)
+    errors = find_violations(guarantees, await read_slots(other, folder, slots), written)
     if rng.random() < OTHER_WRITER_CHANCE:
         for _ in range(OTHER_WRITES):
             last_number += 1
             write = Write(last_number, rng.randrange(FILES), rng.randrange(SLOTS))
-            written[write.place].add(write.number)
-            await _write_through(other, folder, slots, write, promises)
-        promises.barriers.clear()  # what others wrote has no place among this writer's barriers
+            written[write.slot_key].add(write.number)
+            await _write_through_other_edge(other, folder, slots, write, guarantees)
+        guarantees.barriers.clear()  # the writer's barriers do not order writes of other clients
     await _wait_for_recovery(fleet, folder, slots)
     found = await read_slots(other, folder, slots)
-    errors += [f"after the return: {text}" for text in broken_promises(promises, found, written)]
+    errors += [f"after the return: {text}" for text in find_violations(guarantees, found, written)]
     await _remove_files(other, folder)
     await other.close()
     return errors, last_number
@@ -317,30 +316,30 @@
 
 async def _write_until_killed(
     fleet: FleetOperations, writer: Writer, rng: random.Random, kill_window: float
-) -> Promises:
+) -> Guarantees:
     writing = asyncio.ensure_future(writer.run())
-    await asyncio.sleep(rng.uniform(MIN_TIME_TO_KILL, kill_window))
+    await asyncio.sleep(rng.uniform(MIN_KILL_DELAY, kill_window))
     fleet.kill_edge(EDGE)
     with contextlib.suppress(ConnectionClosedError, OSError):
         await writing
-    return writer.promises
+    return writer.guarantees
 
 
-async def _write_through(
-    client: Client, folder: str, slots: Sequence[Sequence[Extent]], write: Write, promises: Promises
+async def _write_through_other_edge(
+    client: Client, folder: str, slots: Sequence[Sequence[Extent]], write: Write, guarantees: Guarantees
 ) -> None:
-    """Writes and flushes through another edge: what the first one's log holds must not undo it."""
+    """Writes and flushes through another edge; the first one's log must not undo this on recovery."""
     start, size = slots[write.file][write.slot]
     open_file = partial(client.open, f"/{folder}/k{write.file}", sftp.WRITE | sftp.CREATE)
     handle = await retry(open_file)
     with contextlib.suppress(StatusError):
         await client.ask(sftp.Write, handle, start, slot_content(write.number, size))
         await client.ask(sftp.Close, handle)
-        promises.flushed[write.place] = write.number
+        guarantees.flushed[write.slot_key] = write.number
 
 
 async def _wait_for_recovery(fleet: FleetOperations, folder: str, slots: Sequence[Sequence[Extent]]) -> None:
-    """Starts the edge again and waits until what its log held is written out."""
+    """Restarts the edge and waits until the writes in its log are flushed."""
     await fleet.edge(EDGE)
     client = await fleet.client(EDGE)
     await read_slots(client, folder, slots)
--- a/rushmux/standins/platform/metered_node.py
+++ b/rushmux/standins/platform/metered_node.py
@@ -52,8 +52,8 @@
     HELD = "held"
     """Commands are delayed in transit and arrive together.
 
-    Those on a connection that the gateway closed meanwhile never arrive.  This differs from a node that hangs:
-    commands that it leaves unread in its socket have arrived.
+    Those on a connection that the gateway closed meanwhile never arrive.  Unlike here, commands that a
+    hanging node leaves unread in its socket have arrived.
     """
     LATE_CONNECTIONS = "late connections"
     """New connections are established late and together."""
--- a/rushmux/standins/write_history.py
+++ b/rushmux/standins/write_history.py
@@ -1,10 +1,9 @@
-"""Drawn histories of writes through an edge's write-back buffer, checked against a model.
+"""Randomized histories of writes through an edge's write-back buffer, checked against a model.
 
-A client writes numbers that only grow to slots of a few files, flushes and sets barriers while nodes fall
-silent, the disk of the log refuses records, another edge writes beside it, and the edge crashes.  At the end
-each acknowledged write must be stored, or superseded, or discarded with a client told of it; and what was
-discarded must not be there, unless the nodes had it already when it was discarded (a batch whose answer was
-lost).
+A client writes increasing numbers to slots of a few files, flushes and sets barriers while nodes stop
+responding, the log's disk rejects records, another edge writes to the same files, and the edge crashes.  At
+the end each acknowledged write must be stored, superseded, or discarded with a client notified.  A discarded
+write must not be stored unless the nodes already had it at the discard (a batch whose reply was lost).
 """
 
 import asyncio
@@ -30,18 +29,18 @@
 
 FOLDER = "heredia"
 BUFFER = {"keep_ms": 600, "age_ms": 200, "batch_files": 2}
-"""Of the deployment: what cannot be flushed is discarded soon, and a layer takes several batches."""
+"""Deployment settings: unflushable writes are discarded soon, and a layer takes several batches."""
 FILES, SLOTS, SLOT_BYTES, SLOT_DISTANCE = 4, 3, 16, 64
 OTHER_SLOT = SLOTS
-"""The slot that the other edge writes: nobody else does."""
+"""The slot that only the other edge writes."""
 STEPS = 50
 EDGE, OTHER_EDGE = 0, 1
 NODES = 4
 MAX_SILENCE = 4.0
-"""Seconds for which nodes answer nothing."""
+"""Longest time in seconds for which nodes don't answer."""
 PAUSES_PER_SECOND = 6
 QUIET_TIME = 12.0
-"""Seconds at the end, after all faults, until everything must be flushed."""
+"""Seconds after the last fault within which everything must be flushed."""
 ACTIONS = {
     "write": 50,
     "flush": 12,
@@ -52,17 +51,17 @@
     "other_write": 4,
     "pause": 13,
 }
-"""Weight of each step."""
-UNCONDITIONAL = (OVERWRITTEN, OVERWRITTEN_BELOW, REMOVED)
-"""Reasons for which writes are discarded whether or not the log takes the record: a start finds the same."""
-LOST = "written before and lost"
+"""Weight of each kind of step."""
+UNCONDITIONAL_REASONS = (OVERWRITTEN, OVERWRITTEN_BELOW, REMOVED)
+"""Reasons for discards that hold even if the log rejects their record: recovery discards the writes again."""
+LOSS_MESSAGE = "written before and lost"
 
-Place = tuple[int, int]
-"""A file's number and a slot in it."""
+SlotKey = tuple[int, int]
+"""A file's index and the index of a slot in it."""
 
 
 class Discarded(NamedTuple):
-    """What the edge discarded of a file, and when."""
+    """A discard of a file's writes by the edge."""
 
     at: float
     file: int
@@ -71,65 +70,65 @@
 
 @dataclass
 class History:
-    """What was written, acknowledged, discarded and told.
+    """What was written, acknowledged and discarded, and which losses clients were notified of.
 
     Attributes:
         issued: Numbers written to each slot, in order.
-        acknowledged: Numbers whose write was answered with success.
-        shed: Numbers whose write was answered as not done.
+        acknowledged: Numbers whose write succeeded.
+        shed: Numbers whose write was rejected by load shedding.
         discarded: Numbers that the edge discarded.
-        stored_when_discarded: Those of them that the nodes had all the same at that moment.
+        stored_when_discarded: Discarded numbers that the nodes already had at that moment.
         discards: Each discard of a file's writes.
-        notified_at: When a client was last told of a loss, by file.
-        other_writes: Whether the other edge wrote.
-        records_refused: Whether the disk refused records of the log.  What the edge wrote straight to the
-            nodes since then is not in the log, and looks like another's write to the next start.
+        notified_at: When a client was last notified of a loss, by file.
+        other_edge_wrote: Whether the other edge wrote.
+        records_refused: Whether the disk rejected records of the log.  The edge's later writes straight to
+            the nodes are missing in the log, and recovery takes them for another edge's.
     """
 
-    issued: dict[Place, list[int]] = field(default_factory=dict)
+    issued: dict[SlotKey, list[int]] = field(default_factory=dict)
     acknowledged: set[int] = field(default_factory=set)
     shed: set[int] = field(default_factory=set)
     discarded: set[int] = field(default_factory=set)
     stored_when_discarded: set[int] = field(default_factory=set)
     discards: list[Discarded] = field(default_factory=list)
     notified_at: dict[int, float] = field(default_factory=dict)
-    other_writes: bool = False
+    other_edge_wrote: bool = False
     records_refused: bool = False
 
-    def breaches(self, found: dict[Place, int | None]) -> list[str]:
-        """What is wrong with the numbers that the slots hold at the end."""
-        errors = [error for place, number in found.items() for error in self._wrong(place, number)]
-        others_wrote = self.other_writes or self.records_refused
+    def breaches(self, found: dict[SlotKey, int | None]) -> list[str]:
+        """Describes the errors in the numbers found in the slots at the end."""
+        errors = [error for key, number in found.items() for error in self._slot_errors(key, number)]
+        others_wrote = self.other_edge_wrote or self.records_refused
         for discard in self.discards:
             if self.notified_at.get(discard.file, -1.0) < discard.at:
-                errors.append(f"file {discard.file}: nobody was told of the discard at {discard.at:.3f}")
+                errors.append(f"file {discard.file}: no client learned of the discard at {discard.at:.3f}")
             if discard.reason in (OVERWRITTEN, OVERWRITTEN_BELOW) and not others_wrote:
-                errors.append(f"file {discard.file}: discarded as overwritten, and nobody else wrote")
+                errors.append(f"file {discard.file}: discarded as overwritten, but no other edge wrote")
         return errors
 
-    def _wrong(self, place: Place, number: int | None) -> list[str]:
-        issued = self.issued.get(place, [])
+    def _slot_errors(self, slot_key: SlotKey, number: int | None) -> list[str]:
+        issued = self.issued.get(slot_key, [])
         kept = [each for each in issued if each in self.acknowledged and each not in self.discarded]
         newest = max(kept, default=0)
         if number is None or (number and number not in issued):
-            return [f"slot {place} holds {number}, never written there, or not whole"]
+            return [f"slot {slot_key} holds {number}, which was never written there or is incomplete"]
         if number == newest:
             return []
         if number < newest:
-            return [f"slot {place} holds {number}; {newest} was acknowledged and nobody was told of a loss"]
+            return [f"slot {slot_key} holds {number}; {newest} was acknowledged, no loss was reported"]
         if number in self.shed:
-            return [f"slot {place} holds {number}, which was answered as not done"]
+            return [f"slot {slot_key} holds {number}, which was rejected by load shedding"]
         if number in self.discarded and number not in self.stored_when_discarded:
-            return [f"slot {place} holds {number}, which was discarded"]
+            return [f"slot {slot_key} holds {number}, which was discarded"]
         return []
 
 
 class Round:
-    """One drawn history on a fleet of two edges.
+    """One randomized history on a fleet of two edges.
 
     Args:
         fleet: The fleet, on a simulated clock.
-        rng: All random draws.
+        rng: Source of all random draws.
     """
 
     def __init__(self, fleet: VirtualFleet, rng: random.Random):
@@ -143,8 +142,8 @@
         self._with_other_writer = rng.random() < 1 / 2
 
     async def run(self) -> list[str]:
-        """Plays the history; what is wrong at its end."""
-        self._spy_on_discards()
+        """Executes the history and returns the errors found at its end."""
+        self._observe_discards()
         await self._open_files()
         for _ in range(STEPS):
             (action,) = self._rng.choices(list(ACTIONS), list(ACTIONS.values()))
@@ -157,19 +156,19 @@
         await self._fleet.sleep(QUIET_TIME)
         await asyncio.gather(*self._tasks)
         for file in range(FILES):
-            await retry(partial(self._flush_and_note, file, self._handles[file]))
+            await retry(partial(self._flush_and_record_loss, file, self._handles[file]))
         return self.history.breaches(await self._read_slots())
 
     # Steps.
 
     async def _write(self) -> None:
-        place = self._rng.randrange(FILES), self._rng.randrange(SLOTS)
+        slot_key = self._rng.randrange(FILES), self._rng.randrange(SLOTS)
         self._number += 1
         number = self._number
-        self.history.issued.setdefault(place, []).append(number)
+        self.history.issued.setdefault(slot_key, []).append(number)
         try:
             await self._client.ask(
-                sftp.Write, self._handles[place[0]], place[1] * SLOT_DISTANCE, content_of(number)
+                sftp.Write, self._handles[slot_key[0]], slot_key[1] * SLOT_DISTANCE, content_of(number)
             )
         except StatusError as refusal:
             if refusal.status.message.startswith("shed"):
@@ -179,31 +178,31 @@
 
     async def _flush(self) -> None:
         file = self._rng.randrange(FILES)
-        self._begin(self._flush_and_note(file, self._handles[file]))
+        self._start_task(self._flush_and_record_loss(file, self._handles[file]))
 
-    async def _flush_and_note(self, file: int, handle: bytes) -> None:
-        """Flushes a file; a StatusError that tells of a loss is noted, others are raised."""
+    async def _flush_and_record_loss(self, file: int, handle: bytes) -> None:
+        """Flushes a file; records a StatusError that reports a loss and raises any other."""
         argument = len(handle).to_bytes(4, "big") + handle
-        await self._note_losses(self._client.ask(sftp.Extended, "fsync@openssh.com", argument), file)
+        await self._record_losses(self._client.ask(sftp.Extended, "fsync@openssh.com", argument), file)
 
     async def _barrier(self) -> None:
-        client = await self._fleet.client(EDGE)  # its own session: later writes do not wait for the answer
+        client = await self._fleet.client(EDGE)  # a separate session: later writes don't wait for the reply
         path = f"/{FOLDER}".encode()
         argument = len(path).to_bytes(4, "big") + path
-        self._begin(self._note_losses(client.ask(sftp.Extended, "barrier@rushmux", argument)))
+        self._start_task(self._record_losses(client.ask(sftp.Extended, "barrier@rushmux", argument)))
         await self._fleet.sleep(0.01)
 
-    async def _note_losses(self, request, file: int | None = None) -> None:
+    async def _record_losses(self, request, file: int | None = None) -> None:
         try:
             await request
         except StatusError as refusal:
-            if LOST not in refusal.status.message:
+            if LOSS_MESSAGE not in refusal.status.message:
                 raise
             named = [number for number in range(FILES) if _path(number) in refusal.status.message]
             for number in named if file is None else [file]:
                 self.history.notified_at[number] = self._fleet.loop.time()
 
-    def _begin(self, request) -> None:
+    def _start_task(self, request) -> None:
         async def run() -> None:
             with contextlib.suppress(StatusError, ConnectionClosedError):
                 await request
@@ -230,13 +229,13 @@
         await self._fleet.sleep(self._rng.expovariate(1))
         self._fleet.log_disks[EDGE].append_errno = None
         await self._fleet.edge(EDGE)
-        self._spy_on_discards()
+        self._observe_discards()
         await self._open_files()
 
     async def _other_write(self) -> None:
         if self._with_other_writer:
-            self.history.other_writes = True
-            self._begin(self._write_through_other_edge(self._rng.randrange(FILES)))
+            self.history.other_edge_wrote = True
+            self._start_task(self._write_through_other_edge(self._rng.randrange(FILES)))
 
     async def _write_through_other_edge(self, file: int) -> None:
         client = await self._fleet.client(OTHER_EDGE)
@@ -252,20 +251,20 @@
         flags = sftp.READ | sftp.WRITE | sftp.CREATE
         self._handles = [await retry(partial(self._client.open, _path(file), flags)) for file in range(FILES)]
 
-    # What the edge discards, and what the nodes have.
+    # Discards by the edge, and the nodes' content.
 
-    def _spy_on_discards(self) -> None:
+    def _observe_discards(self) -> None:
         policy = self._fleet.edges[EDGE].program.buffer.policy
         record_discards = policy.record_discards
 
-        def noted(discards: Sequence[Discard]) -> bool:
+        def record_and_observe(discards: Sequence[Discard]) -> bool:
             recorded = record_discards(discards)
             for discard in discards:
-                if recorded or discard.reason in UNCONDITIONAL:
+                if recorded or discard.reason in UNCONDITIONAL_REASONS:
                     self._on_discard(discard)
             return recorded
 
-        policy.record_discards = noted
+        policy.record_discards = record_and_observe
 
     def _on_discard(self, discard: Discard) -> None:
         file = discard.file
@@ -280,7 +279,7 @@
             self.history.discarded |= lost
             self.history.stored_when_discarded |= lost & set(stored.values())
 
-    async def _read_slots(self) -> dict[Place, int | None]:
+    async def _read_slots(self) -> dict[SlotKey, int | None]:
         client, found = await self._fleet.client(OTHER_EDGE), {}
         for file in range(FILES):
             data = await retry(partial(client.get, _path(file)))
@@ -291,7 +290,7 @@
 
 
 def buffered_slots(file: BufferedFile, below: float = math.inf) -> dict[int, int]:
-    """The newest number in each slot of a file that is buffered in a layer below a barrier."""
+    """Returns the newest number in each slot that is buffered in the file's layers below a barrier."""
     return {
         extent.start // SLOT_DISTANCE: number_of(extent.data)
         for barrier, layer in sorted(file.layers.items())
@@ -302,19 +301,19 @@
 
 
 def content_of(number: int) -> bytes:
-    """A slot's bytes."""
+    """Returns a slot's bytes."""
     return number.to_bytes(SLOT_BYTES, "big")
 
 
 def number_of(content: bytes) -> int | None:
-    """The number that a slot holds, 0 where it was never written; None where it is not whole."""
+    """Returns a slot's number: 0 if never written, None if incomplete."""
     if content and len(content) != SLOT_BYTES:
         return None
     return int.from_bytes(content, "big")
 
 
 def stored_slots(fleet: VirtualFleet, file_id: str) -> dict[int, int]:
-    """The number in each slot of a file as the nodes' disks have it at this moment."""
+    """Returns the number in each slot of a file as currently stored on the nodes' disks."""
     rows = [store.row(FOLDER, layout.file_key(file_id)) for store in fleet.stores.values()]
     row = next((row for row in rows if row is not None), None)
     if row is None:
