--- a/rushmux/standins/gateway_soak.py
+++ b/rushmux/standins/gateway_soak.py
@@ -40,7 +40,7 @@
 READY_TIMEOUT = 10.0
 """Seconds from the start to the first PONG."""
 MAX_SHUTDOWN_DEADLINE, KILL_GRACE = 3.0, 0.7
-"""Seconds: SIGKILL follows SIGTERM after the request deadline, capped at the first, plus the second."""
+"""Seconds from SIGTERM to SIGKILL: the deadline, capped at the first, plus the second."""
 NODE_IDLE_TIMEOUT = 0.6
 """Seconds after which nodes close idle connections (`ConnIdle`)."""
 LOAD_TIME = 2.5
@@ -48,18 +48,16 @@
 NEW_CONNECTIONS_TIME = 0.4
 """Seconds after SIGTERM during which clients may open new connections."""
 PROMPT_CHANCE, DISCONNECT_CHANCE = 0.6, 0.06
-"""That a healthy node replies at once; that a client disconnects with requests pending."""
+"""Of an immediate reply by a healthy node; of a client that leaves with requests pending."""
 EXIT_CODES_AFTER_SIGTERM = (0, -signal.SIGKILL, -signal.SIGTERM, -signal.SIGHUP)
-"""Exit codes that are no crash after SIGTERM.
-
-A second signal may arrive when the event loop is closed and has removed its handlers; nothing is open then.
-"""
+"""Exit codes that are no crash: a second signal may come after the event loop is closed and its handlers are
+removed, when nothing is open."""
 BUSY, FAILED = b"-BUSY\r\n", b"-ERR failed\r\n"
 
 
 @dataclass
 class Outcome:
-    """The result of a run: its settings, numbers of requests sent and answered, and rule breaches."""
+    """The result of a run, with the numbers of requests sent and answered."""
 
     settings: Settings
     requests: int
@@ -97,7 +95,7 @@
 
     def __init__(self, seed: int, folder: Path, arguments: Iterable[str] = GATEWAY_ARGUMENTS):
         self.settings = draw_settings(random.Random(f"soak {seed}"))
-        # Separate generators: how many draws nodes and clients make depends on timing.
+        # Separate generators: how often nodes and clients draw depends on timing.
         self.rng = random.Random(f"soak {seed} course")
         self._node_rng = random.Random(f"soak {seed} nodes")
         self.breaches: list[str] = []
@@ -133,7 +131,7 @@
         return Outcome(self.settings, len(self._requests), answered, self.breaches)
 
     async def _watch_lag(self) -> None:
-        """Records the largest delay of this event loop, which bounds the accuracy of recorded times."""
+        """Measures the largest delay of this event loop: times are no more accurate."""
         while True:
             due = self._loop.time() + LAG_INTERVAL
             await asyncio.sleep(LAG_INTERVAL)
@@ -172,7 +170,7 @@
             node.close()
 
     def _node_script(self, name: str):
-        """Returns a node's script, which records each attempt and draws its response."""
+        """Returns a script that records each attempt and draws its response."""
 
         def script(arguments: list[bytes]) -> list:
             request = self._requests.get(int(arguments[2], 16))
@@ -183,7 +181,7 @@
             may_have_run = response[-1] != BUSY
             request.attempts.append(Attempt(self._loop.time(), name, may_have_run))
             if int(option_of(arguments, "d")) / 1000 > request.deadline + MAX_WRITE_DELAY:
-                self.breaches.append(f"request {request.number} was forwarded with a longer deadline")
+                self.breaches.append(f"request {request.number} was forwarded with more time than it had")
             return response
 
         return script
@@ -247,7 +245,7 @@
         idle: list[FakeClient],
         before: int,
     ) -> None:
-        """Checks that no more descriptors are open after all clients have left than before the load."""
+        """Checks that without clients no more descriptors are open than before the load."""
         self._clients_active = False
         await asyncio.gather(*clients)
         for client in idle:
@@ -281,7 +279,7 @@
         self._kill_at = terminated_at + min(self.settings.deadline, MAX_SHUTDOWN_DEADLINE) + KILL_GRACE
 
     async def _wait_for_exit(self, process: asyncio.subprocess.Process) -> None:
-        """Waits for the process to exit, and kills it as early as the operators' protocol allows."""
+        """Waits for the exit, and kills the process as early as the protocol allows."""
         try:
             async with asyncio.timeout_at(self._kill_at):
                 await process.wait()
@@ -315,7 +313,7 @@
     # Clients.
 
     async def _client(self, seed: float) -> None:
-        """Sends requests on one connection after another while the gateway accepts them."""
+        """Sends requests on one connection after another."""
         rng = random.Random(seed)
         while self._clients_active and self._loop.time() < self._new_connections_until:
             try:
@@ -359,11 +357,11 @@
         return arguments
 
     async def _read_replies(self, connection: FakeClient, requests: list[Request]) -> bool:
-        """Reads the replies in order; returns False if the connection ended or a reply timed out."""
+        """Reads the replies in order; False if the connection ended or a reply is overdue."""
         for index, request in enumerate(requests):
-            patience = request.sent_at + request.deadline + ANSWER_SLACK + 2 - self._loop.time()
+            timeout = request.sent_at + request.deadline + ANSWER_SLACK + 2 - self._loop.time()
             try:
-                reply = await connection.reply(within=max(0.1, patience))
+                reply = await connection.reply(within=max(0.1, timeout))
             except TimeoutError:
                 return False
             now = self._loop.time()
--- a/rushmux/standins/gateway_soak_judge.py
+++ b/rushmux/standins/gateway_soak_judge.py
@@ -1,6 +1,6 @@
 """Checks what clients and nodes observed of a gateway against the operators' protocol.
 
-All time limits are extended by the observer's own delay, which bounds the accuracy of its measurements.
+All limits grow by the observer's own delay, since its times are no more accurate.
 """
 
 from collections.abc import Mapping, Sequence
@@ -10,22 +10,22 @@
 ANSWER_SLACK = 0.5
 """Seconds past a request's deadline after which its answer is overdue."""
 DISCONNECT_SLACK = 0.1
-"""Seconds after a client disconnects during which an attempt may still start."""
+"""Seconds after a client's close in which an attempt may still start."""
 TIME_SLACK = 0.05
 """Seconds by which sockets may delay each observation."""
 DRAIN_NOTICE_TIME = 6.0
-"""Seconds after which a gateway must know a change of discovery's list, even across an outage."""
+"""Seconds within which a gateway must learn of a change, even in an outage."""
 CLOSE_RACE_TIME = 0.05
-"""Seconds before a connection's end in which a request may cross the close in transit and stay unread."""
+"""Seconds before a connection's end in which a request may cross the close and stay unread."""
 MAX_WRITE_DELAY = 0.15
-"""Seconds that may pass between a gateway's reading of the clock and its write."""
+"""Seconds that a gateway may take from reading its clock to writing."""
 MAX_QUOTE_LENGTH = 300
 STOP_SENDING_WITHIN = 0.25
-"""Seconds after a drain notice until a gateway must stop sending (the setting `StopSendingWithin`)."""
+"""Seconds from a drain notice to the last attempt (`StopSendingWithin` of the settings)."""
 
 
 class Scenario(StrEnum):
-    """The special condition of a run, besides the load that all have."""
+    """The condition that a run tests besides load."""
 
     PLAIN = "plain"
     CROWD = "crowd"
@@ -103,7 +103,7 @@
         elif request.attempts:
             self.breaches.append(f"request {request.number} was forwarded, and its connection ended")
         elif self._settings.scenario is Scenario.CROWD and request.is_on_new_connection:
-            pass  # with descriptors used up by idle clients, a new connection may be closed unread
+            pass  # where idle clients use up the descriptors, a new connection may be closed unread
         elif request.connection_ended_at - request.sent_at > CLOSE_RACE_TIME + self._longest_lag:
             waited = request.connection_ended_at - request.sent_at
             self.breaches.append(f"request {request.number} waited {waited:.3f} s, and its connection ended")
@@ -153,7 +153,7 @@
     Args:
         requests: All requests of its clients, with their attempts.
         settings: The run's settings.
-        drained_at: By node name, when discovery reported that it is draining.
+        drained_at: When discovery reported each draining node, by name.
         lag: The observer's largest delay in seconds.
     """
     judging = _Judge(settings, drained_at, lag)
--- a/rushmux/standins/kills.py
+++ b/rushmux/standins/kills.py
@@ -20,16 +20,16 @@
 FILES, SLOTS = 4, 6
 """Files in a folder, and slots in a file."""
 SLOT_SIZES = (700, 4_096, 30_000, 70_000)
-"""Possible slot sizes in bytes: within a block and across block boundaries."""
+"""Bytes of a slot: within a block and across block boundaries."""
 SLOT_GAPS = (0, 0, 5_000)
 BLOCK_SIZE = 262_144
 FIRST_SLOT = BLOCK_SIZE - 150_000
-"""Offset of the first slot, such that the slots lie around a block boundary."""
+"""Offset of the first slot: the slots lie around a block boundary."""
 NUMBER_BYTES = 8
 MAX_TRIES, RETRY_DELAY = 40, 0.25
 """Attempts at a request until it succeeds, and seconds between them."""
 WRITE_CHANCE, FLUSH_CHANCE = 0.7, 0.15
-"""That a step of the writer is a write or a flush; the other steps set a barrier."""
+"""Of a write and of a flush as the writer's next step; the rest are barriers."""
 MAX_BATCH = 5
 PAUSE_CHANCE, PAUSES_PER_SECOND = 0.3, 10
 MIN_KILL_DELAY = 0.05
@@ -56,12 +56,12 @@
 
 
 class RequestStuckError(Exception):
-    """A request still failed when the fleet should have recovered."""
+    """A request still fails though the fleet should have recovered."""
 
 
 @dataclass
 class Barrier:
-    """A barrier: the last number written before it, and the newest acknowledged number in each slot."""
+    """The last number written before a barrier, and the newest acknowledged in each slot."""
 
     last_number: int
     before: Mapping[SlotKey, int]
@@ -69,16 +69,16 @@
 
 @dataclass
 class Guarantees:
-    """The writes in order, those acknowledged, and what flushes and barriers guarantee."""
+    """The writes in order, those acknowledged, and what must be found of them."""
 
     writes: list[Write] = field(default_factory=list)
     acknowledged: set[int] = field(default_factory=set)
     flushed: dict[SlotKey, int] = field(default_factory=dict)
-    """The lowest number that each slot may hold."""
+    """Lowest number that each slot may hold."""
     barriers: list[Barrier] = field(default_factory=list)
 
     def newest_acknowledged(self, file: int | None = None) -> dict[SlotKey, int]:
-        """Returns the newest acknowledged number in each slot of a file, or of all files."""
+        """Returns the newest acknowledged number in each slot of one file or all."""
         return {
             write.slot_key: write.number
             for write in self.writes
@@ -109,7 +109,7 @@
 
 
 def slot_number(content: bytes) -> int | None:
-    """Returns a slot's number: 0 if never written, None if it isn't a single complete number."""
+    """Returns a slot's number: 0 if never written, None if incomplete."""
     content = bytes(content)
     whole = len(content) >= NUMBER_BYTES
     number = int.from_bytes(content[:NUMBER_BYTES], "big") if whole else 0
@@ -120,7 +120,7 @@
     """Writes, flushes and sets barriers in a folder until its edge is killed.
 
     Attributes:
-        guarantees: Its writes and what the edge guaranteed of them.
+        guarantees: What it wrote and may rely on.
 
     Args:
         client: A session with the edge.
@@ -144,7 +144,7 @@
         self._handles: list[bytes] = []
 
     async def run(self) -> None:
-        """Runs until the connection ends, which raises ConnectionClosedError or OSError."""
+        """Runs until the connection ends with ConnectionClosedError or OSError."""
         flags = sftp.READ | sftp.WRITE | sftp.CREATE
         for file in range(FILES):
             open_file = partial(self._client.open, f"/{self._folder}/k{file}", flags)
@@ -214,7 +214,7 @@
 async def read_slots(
     client: Client, folder: str, slots: Sequence[Sequence[Extent]]
 ) -> dict[SlotKey, int | None]:
-    """Returns the number in each slot; None if it isn't a single complete number."""
+    """Returns the number in each slot; None if incomplete."""
     found: dict[SlotKey, int | None] = {}
     for file in range(FILES):
         try:
@@ -255,7 +255,7 @@
 
 
 def _barrier_violations(barrier: Barrier, found: Mapping[SlotKey, int | None]) -> list[str]:
-    """Describes slots that lack a write from before a barrier although another has one from after it."""
+    """Describes slots that lack a write from before a barrier though another has a later one."""
     after = [slot_key for slot_key, number in found.items() if number and number > barrier.last_number]
     if not after:
         return []
@@ -328,7 +328,7 @@
 async def _write_through_other_edge(
     client: Client, folder: str, slots: Sequence[Sequence[Extent]], write: Write, guarantees: Guarantees
 ) -> None:
-    """Writes and flushes through another edge; the first one's log must not undo this on recovery."""
+    """Writes and flushes through another edge; the first one's recovery must not undo this."""
     start, size = slots[write.file][write.slot]
     open_file = partial(client.open, f"/{folder}/k{write.file}", sftp.WRITE | sftp.CREATE)
     handle = await retry(open_file)
--- a/rushmux/standins/limit_judge.py
+++ b/rushmux/standins/limit_judge.py
@@ -1,15 +1,15 @@
 """Checks from what storage nodes received that all gateways together kept the volumes' limits.
 
 Each volume has one token bucket for the whole fleet, full at the start.  The first arrival of a complete
-request at any node takes its units; the node's answer and later attempts have no effect.  The bucket may be
-overdrawn by the plan's tolerance and by the units that the rate allows in `SOCKET_SLACK`.
+request at any node takes its units, whatever the answer and later attempts.  The bucket may be overdrawn by
+the plan's tolerance and the rate's units in `SOCKET_SLACK`.
 """
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
 SOCKET_SLACK = 0.15
-"""Seconds by which sockets may delay arrivals; the tolerance grows by the rate's units in them."""
+"""Seconds by which sockets may delay arrivals."""
 ROUNDING = 1e-6
 """Rounding error of summed units."""
 
@@ -64,7 +64,7 @@
         arrivals: In any order.
         limits: By volume; other volumes have no limit.
         begin: When all buckets were full, in seconds.
-        lag: The observer's largest delay in seconds; late observation makes arrivals look closer together.
+        lag: The observer's largest delay in seconds, by which arrivals look closer together.
     """
     levels = {volume: limit.burst for volume, limit in limits.items()}
     updated_at = dict.fromkeys(limits, begin)
--- a/rushmux/standins/limit_soak.py
+++ b/rushmux/standins/limit_soak.py
@@ -22,7 +22,7 @@
 LAG_INTERVAL = 0.01
 MAX_UNITS = 8
 SHARED_VOLUME, SINGLE_VOLUME = 1, 2
-"""Ids of a volume used through all gateways, and of one used through the first only."""
+"""Used through all gateways, and through the first only."""
 CLIENTS_PER_GATEWAY = 10
 RECONNECT_INTERVAL = 0.02
 STALL_TIME = (0.15, 0.4)
@@ -30,7 +30,7 @@
 TIME_BETWEEN_RESTARTS = 0.3
 """Seconds of load after each restart."""
 DIAL_TIMEOUT = 2.5
-"""Seconds: more than the one second after which the operating system repeats a connect."""
+"""Seconds: more than the one after which the kernel repeats a connect."""
 NS_PER_SECOND = 1_000_000_000
 MS_PER_SECOND = 1000
 
@@ -45,18 +45,18 @@
     meter: Meter = Meter.STEADY
     fault: NodeFault = NodeFault.NONE
     units: tuple[int, ...] = (1, 1, 2, 4, MAX_UNITS)
-    """Sizes of operations that clients choose from."""
+    """Sizes of operations to choose from."""
     fault_time: tuple[float, float] = (0.3, 1.3)
-    """Shortest and longest delay of commands to nodes."""
+    """Shortest and longest duration of a node's fault."""
     service_time: float = 0.02
-    """The longest that a node takes for a command."""
+    """Longest execution of a command."""
     deadline: float = 1.0
     load_time: float = 3.0
     """Duration of each burst."""
     quiet_time: float = 0.0
     """Idle time between two bursts; 0: a single burst."""
     restarts: int = 0
-    """Consecutive restarts of each gateway that restarts."""
+    """Consecutive restarts of each restarted gateway."""
     restarted_gateways: int = 1
     restart_signal: signal.Signals = signal.SIGKILL
     stalls: int = 0
@@ -237,7 +237,7 @@
         await self._check_ready(gateway)
 
     async def _inject_faults(self, duration: float) -> None:
-        """Delays commands to nodes, and stalls and reloads gateways, during a burst."""
+        """Delays commands to nodes, stalls and reloads gateways."""
         until = self._loop.time() + duration
         delays = [asyncio.ensure_future(self._delay_nodes(node)) for node in self._nodes]
         for _ in range(self.scenario.stalls + self.scenario.reloads):
--- a/rushmux/standins/platform/client.py
+++ b/rushmux/standins/platform/client.py
@@ -13,7 +13,7 @@
     """A client's connection.
 
     Attributes:
-        was_reset: Whether the connection ended with a reset rather than a normal close.
+        was_reset: Whether the connection was reset.
         replies_received: Number of replies so far.
     """
 
@@ -25,7 +25,7 @@
         self.replies_received = 0
 
     async def open(self, port: int) -> FakeClient:
-        """Connects to the gateway at a port of the loopback interface."""
+        """Connects to a gateway on loopback."""
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", port)
         return self
 
@@ -34,11 +34,7 @@
         self.writer.write(encode_command(arguments))
 
     async def reply(self, within: float = 5.0) -> tuple | None:
-        """Returns the kind and value of the next reply, or None if the connection ended.
-
-        Raises:
-            TimeoutError: No reply arrived `within` so many seconds.
-        """
+        """Returns the next reply's kind and value, or None if the connection ended; raises TimeoutError."""
         async with asyncio.timeout(within):
             while (reply := self.reply_reader.next_reply()) is None:
                 try:
--- a/rushmux/standins/platform/configuration.py
+++ b/rushmux/standins/platform/configuration.py
@@ -13,16 +13,16 @@
     shards: int = 4,
     **limits,
 ) -> dict:
-    """Returns settings in the format of the simulator's first message, with times suited to tests.
+    """Returns settings in the format of the simulator's first message, suited to tests.
 
     Args:
-        plan: Values that override those of the plan.
+        plan: Overrides values of the plan.
         deadline: Of both request classes, in milliseconds.
         objective: Latency objective of both request classes, in milliseconds.
-        dedup_window: Of the keyed request class, in milliseconds.
+        dedup_window: Of the keyed class, in milliseconds.
         gateways: Number of gateways that share a volume.
         shards: Number of cells.
-        limits: Values that override those of `Limits`.
+        limits: Overrides values of `Limits`.
     """
     return {
         "Classes": [
@@ -95,7 +95,7 @@
 def configuration(
     discovery_port: int, known_rows: list[dict], listen_port: int = 0, *, sockets: int = 256, **options
 ) -> dict:
-    """Returns the content of a gateway's configuration file; `options` are passed to `settings`."""
+    """Returns a gateway's configuration; `options` are those of `settings`."""
     return {
         "name": "n0",
         "listen": f"127.0.0.1:{listen_port or 1}",
--- a/rushmux/standins/platform/discovery.py
+++ b/rushmux/standins/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Fake discovery: serves the endpoint list and its changes, with failures on request."""
+"""Fake discovery: the endpoint list, its changes, and failures on request."""
 
 import asyncio
 import contextlib
@@ -46,7 +46,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def update(self, *rows: dict) -> None:
-        """Adds, changes or removes rows of the list as one new version."""
+        """Changes rows of the list, as one new version."""
         self.version += 1
         for row in rows:
             self.rows[row["id"]] = row
--- a/rushmux/standins/platform/gateway_process.py
+++ b/rushmux/standins/platform/gateway_process.py
@@ -18,10 +18,10 @@
 
 GATEWAY_ARGUMENTS = ("-m", "rushmux.gateway")
 READY_POLL_INTERVAL = 0.05
-"""Seconds between two attempts to reach a starting gateway."""
+"""Seconds between attempts to reach a starting gateway."""
 MIN_PORT, MAX_PORT = 20_000, 32_000
-"""Below the ephemeral ports: a connection attempt to a stopped gateway could be assigned the gateway's own
-port as its local port, connect to itself and keep the gateway from listening."""
+"""Below the ephemeral ports: a connection to a stopped gateway could get the gateway's port as its local one,
+connect to itself and keep the gateway from listening."""
 
 
 def free_gateway_port() -> int:
@@ -36,19 +36,19 @@
 
 
 class GatewayProcess:
-    """A gateway that can be restarted, without any earlier state, at the same address.
+    """A gateway that can be restarted without state at the same address.
 
     Attributes:
-        log: Standard error of all processes that have ended.
+        log: Standard error of ended processes.
     """
 
     def __init__(self, name: str, file: Path, port: int, arguments: Sequence[str] = GATEWAY_ARGUMENTS):
-        """Describes a gateway without starting it.
+        """Describes a gateway.
 
         Args:
-            name: The gateway's name.
+            name: Its name.
             file: Its configuration file.
-            port: The port in its configuration.
+            port: Where it listens.
             arguments: Interpreter arguments that start it.
         """
         self.name = name
@@ -74,7 +74,7 @@
         self._reader = asyncio.ensure_future(self.process.stderr.read())
 
     async def is_ready(self, within: float) -> bool:
-        """Returns whether the gateway answers PING within so many seconds."""
+        """Returns whether it answers PING within so many seconds."""
         loop = asyncio.get_running_loop()
         until = loop.time() + within
         while loop.time() < until and self.process.returncode is None:
@@ -88,12 +88,12 @@
         return False
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends a signal unless the process has ended."""
+        """Sends a signal unless it has ended."""
         if self.process.returncode is None:
             self.process.send_signal(number)
 
     async def end(self) -> int:
-        """Kills the process if it is still running and returns its exit code."""
+        """Kills it if it is running, and returns its exit code."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
--- a/rushmux/standins/platform/messages.py
+++ b/rushmux/standins/platform/messages.py
@@ -4,7 +4,7 @@
 
 NULL = b"$-1\r\n"
 BLOCK_NUMBER_OFFSET = 4096
-"""Difference between a command's block number and its operation's number."""
+"""Block number of a command minus its operation's number."""
 
 
 def success_reply(value: bytes = b"data", used: bytes = NULL, load: bytes = NULL) -> bytes:
@@ -29,14 +29,14 @@
     units: float = 1,
     hosts: int = 1,
 ) -> list[bytes]:
-    """Returns the arguments of a read; `time_left` is in milliseconds."""
+    """Returns the arguments of a read; `time_left` in milliseconds."""
     size = f"volume={volume:016x},units={units},shard={cell},hosts={hosts}"
     options = f"c={request_class},t={plan},d={time_left},{size}"
     return [b"BLK.READ", b"%016x" % (number + BLOCK_NUMBER_OFFSET), b"%016x" % number, options.encode()]
 
 
 def write_command(number: int, *, cell: int = 0, time_left: int = 900, data: bytes = b"body") -> list[bytes]:
-    """Returns the arguments of a write; `time_left` is in milliseconds."""
+    """Returns the arguments of a write; `time_left` in milliseconds."""
     options = f"c=write,t=base,d={time_left},k={number:016x},volume={1:016x},units=1,shard={cell},hosts=1"
     return [
         b"BLK.WRITE",
--- a/rushmux/standins/platform/metered_node.py
+++ b/rushmux/standins/platform/metered_node.py
@@ -1,4 +1,4 @@
-"""A fake storage node that records when units arrive, with faults in its usage reports and connections."""
+"""A fake storage node that records when units arrive, with faulty usage reports and late commands."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 BUSY, FAILED = b"-BUSY\r\n", b"-ERR failed\r\n"
 METER_CHANGE_TIME = 2.0
-"""Seconds from the start until a LATE meter begins to report and a LOST one stops."""
+"""Seconds from the start until a LATE meter begins and a LOST one stops."""
 MAX_UNTRUE_USAGE = 300
 """Percent."""
 VALID_USAGE = encode_bulk(b"used=40")
 MALFORMED_USAGE = (encode_bulk(b"used=x"), encode_bulk(b""), NULL)
 ACCEPT_BACKLOG = 100
 BLOCKING_CONNECTIONS = 2
-"""Connections that fill the accept queue of a listener with a backlog of 0."""
+"""Fill the accept queue of a listener with a backlog of 0."""
 
 
 class Meter(StrEnum):
@@ -48,12 +48,12 @@
 
     NONE = "none"
     ERRORS = "errors"
-    """Commands are rejected, fail, hang, or have their connection closed."""
+    """Commands are rejected, fail, hang, or lose their connection."""
     HELD = "held"
     """Commands are delayed in transit and arrive together.
 
-    Those on a connection that the gateway closed meanwhile never arrive.  Unlike here, commands that a
-    hanging node leaves unread in its socket have arrived.
+    Those on a connection that the gateway closed meanwhile never arrive.  A hanging node differs: the
+    commands unread in its socket have arrived.
     """
     LATE_CONNECTIONS = "late connections"
     """New connections are established late and together."""
@@ -69,7 +69,7 @@
 
 
 def _has_ended(connection: NodeServerConnection) -> bool:
-    # Whether the peer closed or reset the connection, even with data still unread.
+    # Whether the peer closed or reset the connection, even with unread data.
     poll = select.poll()
     poll.register(connection.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
@@ -86,7 +86,7 @@
     def __init__(
         self, name: str, meter: Meter, fault: NodeFault, rng: random.Random, service_time: float = 0.02
     ):
-        """Creates a node; `service_time` is the longest that a command takes, in seconds."""
+        """Creates a node; `service_time`: the longest that a command takes, in seconds."""
         super().__init__(self._respond)
         self.service_time = service_time
         self.name = name
@@ -102,7 +102,7 @@
         self.is_held = False
 
     async def open(self, port: int = 0) -> None:
-        """Listens on a port; 0 chooses a free one."""
+        """Listens; port 0 chooses a free one."""
         self._listener = socket.create_server(("127.0.0.1", port), backlog=ACCEPT_BACKLOG)
         self._listener.setblocking(False)
         self.port = self._listener.getsockname()[1]
--- a/rushmux/standins/platform/node.py
+++ b/rushmux/standins/platform/node.py
@@ -1,4 +1,4 @@
-"""A fake storage node with scripted responses and counters."""
+"""A fake storage node with scripted responses."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self.task: asyncio.Task | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Registers the connection with its node."""
+        """Registers the connection."""
         self.transport = transport
         self.node.connections[self] = True
         self.node.connections_opened += 1
@@ -55,22 +55,22 @@
             self.node.running -= 1
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Unregisters the connection and cancels its last script."""
+        """Cancels its last script."""
         self.node.connections.pop(self, None)
         if self.task is not None:
-            self.task.cancel()  # like a real node, which stops work that the gateway abandoned
+            self.task.cancel()  # nodes stop abandoned work
 
 
 class FakeNode:
     """A storage node on loopback.
 
     Attributes:
-        script: Returns the steps of a response, given the command's arguments: bytes to send, seconds to
-            wait, "close" or "hang".
+        script: Returns the steps for a command, given its arguments: bytes to send, seconds to wait, "close"
+            or "hang".
         received: The arguments of each command.
-        running: Number of commands whose script is running.
-        max_running: Largest value of `running` so far.
-        connections_opened: Number of connections accepted so far.
+        running: Number of running scripts.
+        max_running: Largest value of `running`.
+        connections_opened: Number of connections so far.
     """
 
     def __init__(self, script: Callable[[list[bytes]], Iterable] = _serve):
@@ -84,7 +84,7 @@
         self.server: asyncio.Server | None = None
 
     async def open(self, port: int = 0) -> None:
-        """Listens on a port; 0 chooses a free one."""
+        """Listens; port 0 chooses a free one."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: NodeServerConnection(self), "127.0.0.1", port)
         self.port = self.server.sockets[0].getsockname()[1]
--- a/rushmux/standins/usage_meter.py
+++ b/rushmux/standins/usage_meter.py
@@ -1,13 +1,13 @@
-"""Units that a stand-in node served for each folder, as its replies report them to the edges."""
+"""Units that a stand-in node served for each folder, as reported to the edges."""
 
 from collections import OrderedDict
 
 MAX_FOLDERS = 100_000
-"""Most folders counted in a period, and most pairs of folder and edge that are kept."""
+"""Limit of folders counted in a period, and of remembered pairs of folder and edge."""
 
 
 class UsageMeter:
-    """Counts the units served for each folder, in total and since each edge's last reply."""
+    """Counts units served for each folder, in total and since each edge's last reply."""
 
     def __init__(self) -> None:
         self._total: dict[str, float] = {}
--- a/rushmux/standins/write_history.py
+++ b/rushmux/standins/write_history.py
@@ -37,7 +37,7 @@
 EDGE, OTHER_EDGE = 0, 1
 NODES = 4
 MAX_SILENCE = 4.0
-"""Longest time in seconds for which nodes don't answer."""
+"""Longest time without answers from nodes, in seconds."""
 PAUSES_PER_SECOND = 6
 QUIET_TIME = 12.0
 """Seconds after the last fault within which everything must be flushed."""
@@ -53,7 +53,7 @@
 }
 """Weight of each kind of step."""
 UNCONDITIONAL_REASONS = (OVERWRITTEN, OVERWRITTEN_BELOW, REMOVED)
-"""Reasons for discards that hold even if the log rejects their record: recovery discards the writes again."""
+"""Reasons that hold even if the log rejects the record of a discard: recovery finds the same."""
 LOSS_MESSAGE = "written before and lost"
 
 SlotKey = tuple[int, int]
@@ -70,7 +70,7 @@
 
 @dataclass
 class History:
-    """What was written, acknowledged and discarded, and which losses clients were notified of.
+    """What was written, acknowledged and discarded, and the losses reported to clients.
 
     Attributes:
         issued: Numbers written to each slot, in order.
@@ -81,8 +81,8 @@
         discards: Each discard of a file's writes.
         notified_at: When a client was last notified of a loss, by file.
         other_edge_wrote: Whether the other edge wrote.
-        records_refused: Whether the disk rejected records of the log.  The edge's later writes straight to
-            the nodes are missing in the log, and recovery takes them for another edge's.
+        records_refused: Whether the disk rejected records of the log.  The edge's later unbuffered writes are
+            missing in the log, and recovery takes them for another edge's.
     """
 
     issued: dict[SlotKey, list[int]] = field(default_factory=dict)
@@ -290,7 +290,7 @@
 
 
 def buffered_slots(file: BufferedFile, below: float = math.inf) -> dict[int, int]:
-    """Returns the newest number in each slot that is buffered in the file's layers below a barrier."""
+    """Returns the newest number in each slot, as buffered in layers below a barrier."""
     return {
         extent.start // SLOT_DISTANCE: number_of(extent.data)
         for barrier, layer in sorted(file.layers.items())
@@ -313,7 +313,7 @@
 
 
 def stored_slots(fleet: VirtualFleet, file_id: str) -> dict[int, int]:
-    """Returns the number in each slot of a file as currently stored on the nodes' disks."""
+    """Returns the number in each slot of a file as stored on the nodes."""
     rows = [store.row(FOLDER, layout.file_key(file_id)) for store in fleet.stores.values()]
     row = next((row for row in rows if row is not None), None)
     if row is None:
