--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -79,7 +79,7 @@
 
         async def inject_faults():
             await asyncio.sleep(seconds * PAUSE_AT)
-            made.edges[PAUSED_EDGE].process.hold(PAUSE)
+            made.edges[PAUSED_EDGE].process.pause(PAUSE)
             await asyncio.sleep(seconds * (CRASH_AT - PAUSE_AT))
             made.kill_planner()
             await asyncio.sleep(DOWNTIME)
