--- a/tests/fleet/test_policy.py
+++ b/tests/fleet/test_policy.py
@@ -207,9 +207,7 @@
     machine.apply(command("propose", 30.0))
     assert member.on_grant(1.1, grant(member, 1.0, machine, 4))
     assert member.lease_request(1.2)[3:] == (0, 3, "a lane is unknown")
-    machine.apply(
-        command("decide", number=3, joint=[], why="")
-    )  # decided while the member's lease was expired
+    machine.apply(command("decide", number=3, joint=[], why=""))  # the member's lease had expired
     assert not member.on_grant(1.6, grant(member, 1.5, machine, 5)) and not member.is_serving()
 
 
