--- a/tests/planner/test_hostile_messages.py
+++ b/tests/planner/test_hostile_messages.py
@@ -137,7 +137,7 @@
         name = leader(fleet)
         raw = raw_deployment()
         raw["plans"]["basico"].update(limit=40.0, burst=80.0)
-        fleet.edges[1].process.hold(3)
+        fleet.edges[1].process.pause(3)
         await fleet.send_policy_command("held", "propose", text=documents.serialize(raw))
         request = messages.PolicyAsk(member="edge1", ask=1, force=1, refused=2, against="\1" * 400_000)
         await send(
