--- a/rushmux/edge/directories.py
+++ b/rushmux/edge/directories.py
@@ -1,8 +1,7 @@
 """Names of a folder's files and directories, stored as rows in the folder's home cell.
 
-Concurrency is optimistic: every change checks the versions of the rows it is based on, so that two edges that
-change one folder concurrently lose nothing.  If a check fails, the rows are read again and the change is
-retried a few times.
+Every change checks the versions of the rows it is based on, so that concurrent changes by two edges are not
+lost.  If a check fails, the change is retried a few times with fresh rows.
 """
 
 from functools import partial
@@ -49,7 +48,7 @@
 
     @property
     def entry_key(self) -> str:
-        """Key of the name's entry, whether or not the entry exists."""
+        """Key of the entry, which may not exist."""
         return layout.entry_key(self.parent_id, self.name)
 
     def parent_checks(self) -> list[messages.Check]:
@@ -66,7 +65,7 @@
 
 
 class DirectoryPage(NamedTuple):
-    """Some entries of a directory, and the key to continue after (empty: no more entries)."""
+    """Entries of a directory, and the key to continue after (empty: no more)."""
 
     entries: list[ListedEntry]
     next_key: str
@@ -83,7 +82,7 @@
 class DirectoryTree:
     """Looks up and changes names in all folders.
 
-    A change raises ContentionError if concurrent changes of the same names make every attempt fail.
+    Changes raise ContentionError if every attempt conflicts with others.
     """
 
     def __init__(self, file_system: FileSystem):
@@ -98,7 +97,7 @@
         if not names:
             return ResolvedName("", "", ROOT, FileRow(FileKind.DIRECTORY, DEFAULT_DIRECTORY_MODE))
         rows = (await runner.read_rows("/".join(names), path=names)).rows
-        # The reply holds an entry row and a file row for each name, up to the first name that does not exist.
+        # The reply holds an entry row and a file row for each leading name that exists.
         parent_id, checks = ROOT, []
         for depth in range(len(names) - 1):
             if 2 * depth + 1 >= len(rows):
@@ -132,7 +131,7 @@
     async def open(
         self, runner: OperationRunner, names: Names, flags: int, attributes: sftp.Attributes
     ) -> ResolvedName:
-        """Looks up a file to open, and creates or truncates it according to the SFTP flags."""
+        """Looks up, creates or truncates a file according to the SFTP flags."""
         attempt = partial(self._try_open, runner, names, flags, attributes)
         return await retry_on_conflict(runner, "/".join(names), attempt)
 
@@ -156,7 +155,7 @@
     async def _create(
         self, runner: OperationRunner, found: ResolvedName, file: FileRow
     ) -> ResolvedName | None:
-        """Creates a file or directory; returns None if the name or its parent has changed."""
+        """Creates a file or directory; returns None on a conflict."""
         file_id = self.file_system.unique_name()
         change = RowChange(
             checks=[*found.parent_checks(), check_version(found.entry_key, 0)],
@@ -173,7 +172,7 @@
         )
 
     async def _truncate(self, runner: OperationRunner, found: ResolvedName) -> ResolvedName | None:
-        """Empties a file by giving it a new data id; returns None if the file has changed."""
+        """Gives a file a new, empty data id; returns None on a conflict."""
         file_system = self.file_system
         now = file_system.wall_clock()
         file = found.file._replace(size=0, mtime=now, data_id=file_system.unique_name(), batch_stamp="")
@@ -293,7 +292,7 @@
             change.puts.append(self.file_system.garbage_data_row(destination.file.data_id))
 
     async def list_entries(self, runner: OperationRunner, directory_id: str, after: str) -> DirectoryPage:
-        """Lists up to PAGE_SIZE entries of a directory after the key `after` (empty: from the first)."""
+        """Lists up to PAGE_SIZE entries after the key `after` (empty: from the first)."""
         keys = layout.entry_keys(directory_id)
         outcome = await runner.read_rows(
             directory_id, after=after or keys.after, below=keys.below, most=PAGE_SIZE
--- a/rushmux/edge/driver.py
+++ b/rushmux/edge/driver.py
@@ -36,7 +36,7 @@
 
 
 class EdgeOperation(NamedTuple):
-    """An operation: what the scheduler needs to know, and a function that fills in an attempt's message."""
+    """An operation's scheduling data, and a function that fills in its attempts' messages."""
 
     request_class: str
     folder: str
@@ -48,7 +48,7 @@
 
 
 class OperationResult(NamedTuple):
-    """A node's outcome, the node's cell, and other cells where the operation may also have been done."""
+    """A node's outcome and cell, and other cells where the operation may have been done."""
 
     outcome: messages.Outcome
     cell: int
@@ -56,7 +56,7 @@
 
 
 class PolicyVersion(NamedTuple):
-    """Versions of the fleet's policy: the active one, and the newest one whose limits the edge respects."""
+    """Policy versions: the active one, and the newest one whose limits the edge respects."""
 
     active: int
     newest: int
@@ -101,7 +101,7 @@
         self.on_orphaned_object: Callable[[str, int, str], None] = lambda folder, cell, name: None
 
     def unique_name(self) -> str:
-        """Returns a name that this and all other starts of the edge use only once."""
+        """Returns a name that is unique across all starts of the edge."""
         self.name_count += 1
         return f"{self.name}.{self.identity.incarnation}.{self.name_count}"
 
--- a/rushmux/edge/edge.py
+++ b/rushmux/edge/edge.py
@@ -1,4 +1,4 @@
-"""The edge program: wires its parts together, accepts sessions, reloads settings and shuts down."""
+"""The edge program: starts its parts, accepts sessions, reloads settings and shuts down."""
 
 import asyncio
 import random
@@ -39,13 +39,13 @@
         log: The logger.
         scheduler_type: Creates the scheduler.
         make_buffer: Creates a write-back buffer from a driver, a file system and a logger; None: no buffer.
-        endpoint_cache: The endpoint list cached by an earlier start; None: no cache.
+        endpoint_cache: The endpoint list of an earlier start; None: no cache.
         policy_store: The fleet's policy on disk; None: only the deployment file applies.
 
     Attributes:
         name: The edge's name in all protocols.
         incarnation: An id that differs at each start.
-        on_listing: Called with [node, condition] of each entry of each accepted listing.
+        on_listing: Called with the [node, condition] of all entries of each accepted listing.
         on_policy_state: Called with the new policy state after each change.
     """
 
@@ -170,7 +170,7 @@
         was accepted.
         """
         if self.policy_client is not None:
-            # Otherwise this edge would follow a policy that no other edge has.
+            # Otherwise this edge's policy would differ from the fleet's.
             return self._reject_reload(["the planners decide the fleet's policy: propose the change to them"])
         try:
             deployment = read_deployment()
--- a/rushmux/edge/endpoint_cache.py
+++ b/rushmux/edge/endpoint_cache.py
@@ -1,7 +1,7 @@
 """The last endpoint list that an edge received, cached on disk for a start while no planner is reachable.
 
-The file is replaced atomically.  It holds a magic word, a format number, a checksum, the wall clock time and
-the list as a protobuf message.  A file that cannot be read is logged and ignored.
+The file holds a magic word, a format number, a checksum, the wall clock time and the list as a protobuf
+message.  It is replaced atomically, and ignored if it cannot be read.
 """
 
 import struct
--- a/rushmux/edge/endpoint_table.py
+++ b/rushmux/edge/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The storage nodes known to an edge, from the endpoint list and from the nodes' welcome messages."""
+"""The storage nodes known to an edge from the endpoint list and the nodes' welcome messages."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, NamedTuple
@@ -11,7 +11,7 @@
     from rushmux.edge.driver import EdgeDriver
 
 MAX_ENDPOINTS = 10_000  # nodes in a listing; larger than any supported fleet
-MAX_STARTS = 4  # starts remembered for each node, to recognize late messages about an older one
+MAX_STARTS = 4  # starts remembered per node, to recognize late messages about older ones
 CONDITIONS = frozenset(EndpointState)
 
 
@@ -62,8 +62,8 @@
     def _is_plausible(self, listing: messages.Listing, ready: int) -> bool:
         if len(listing.entries) > MAX_ENDPOINTS or not 0 < listing.cells <= MAX_ENDPOINTS:
             return False
-        # A planner that has just started, or is faulty, may know no nodes.  A snapshot without ready nodes is
-        # therefore ignored while some nodes are ready; nodes that really leave are removed one by one.
+        # A new or faulty planner may know no nodes, so a snapshot without ready nodes is ignored while some
+        # are ready; nodes that really leave are removed one by one.
         ready_before = sum(endpoint.state is EndpointState.READY for endpoint in self.endpoints.values())
         return bool(ready) or not (listing.whole and ready_before)
 
@@ -92,8 +92,8 @@
             self.disk_space.pop(node, None)
 
     def _online_since(self, node: str, start: str, age: Ticks, now: Ticks) -> Ticks:
-        # The latest start of a node on this clock; 0: long ago.  Each start's time is fixed when it is first
-        # reported, by the list or by the node.  A start that is not later than the known ones is ignored.
+        # A node's latest start on this clock; 0: long ago.  The first report of a start, by the list or the
+        # node, fixes its time; starts that are not later than known ones are ignored.
         starts = self.start_times.setdefault(node, {})
         if start not in starts:
             warm = age >= self.driver.deployment.settings.warm_up_time
--- a/rushmux/edge/file_attributes.py
+++ b/rushmux/edge/file_attributes.py
@@ -1,4 +1,4 @@
-"""Attributes of files and directories: conversion to SFTP, and changes requested by clients."""
+"""File attributes: conversion to SFTP, and changes requested by clients."""
 
 import time
 from functools import partial
@@ -47,7 +47,7 @@
 
 
 class AttributeEditor:
-    """Sets attributes of files and directories, including the size of files."""
+    """Sets attributes, including the size of files."""
 
     def __init__(self, file_system: FileSystem):
         self.file_system = file_system
@@ -134,7 +134,7 @@
         first_block: int,
         change: RowChange,
     ) -> list[tuple[int, str]]:
-        """Adds to a change the truncation of blocks from `first_block` on; returns the objects it frees."""
+        """Adds the truncation of blocks from `first_block` on to a change; returns the freed objects."""
         garbage = []
         keys = layout.block_keys(file.data_id, first_block)
         outcome = await runner.read_rows(
--- a/rushmux/edge/file_requests.py
+++ b/rushmux/edge/file_requests.py
@@ -21,7 +21,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def open(self, packet: sftp.Open, runner_for: RunnerFactory) -> sftp.Handle:
-        """Opens a file, and creates or truncates it according to the flags."""
+        """Opens, creates or truncates a file according to the flags."""
         self.handles.check_capacity()
         location = self.context.locate_inside(packet.path)
         if not packet.flags & (sftp.READ | sftp.WRITE):
@@ -35,7 +35,7 @@
         return sftp.Handle(packet.request_id, self.handles.add(file))
 
     async def _flush_before_truncation(self, runner: OperationRunner, names: Names) -> None:
-        """Flushes a file's buffered writes, which would otherwise be applied after the truncation."""
+        """Flushes buffered writes, which would otherwise be applied after the truncation."""
         if self.buffer is None or not self.buffer.writes.folder(runner.folder).byte_count:
             return
         found = await self.tree.resolve(runner, names)
@@ -86,7 +86,7 @@
         return status(packet.request_id)
 
     async def stat(self, packet: sftp.Stat | sftp.LStat, runner_for: RunnerFactory) -> sftp.Attrs:
-        """Returns the attributes of a path; as there are no links, `stat` and `lstat` are the same."""
+        """Returns the attributes of a path; there are no links to follow."""
         folder, names = self.context.locate(packet.path)
         if not names:
             return sftp.Attrs(packet.request_id, root_attributes())
--- a/rushmux/edge/file_system.py
+++ b/rushmux/edge/file_system.py
@@ -10,13 +10,13 @@
 
 
 class FileSystem:
-    """Creates the rows that changes of files store.
+    """Creates rows of files.
 
     Attributes:
         settings: The deployment's settings for files.
         unique_name: Returns a name that was never used before.
         wall_clock: Returns whole seconds since 1970.
-        schedule_collection: Called with a folder after a change that left garbage there.
+        schedule_collection: Called with each folder where a change left garbage.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         return FileRow(FileKind.DIRECTORY, mode & PERMISSION_BITS, mtime=now, atime=now)
 
     def garbage_objects_row(self, objects: Sequence[tuple[int, str]]) -> tuple[str, bytes]:
-        """Returns key and value of a garbage row that lists objects to drop as (cell, object)."""
+        """Returns key and value of a garbage row for objects, each (cell, object)."""
         return layout.garbage_key(self.unique_name()), layout.pack_garbage_objects(objects)
 
     def garbage_data_row(self, data_id: str) -> tuple[str, bytes]:
--- a/rushmux/edge/file_view.py
+++ b/rushmux/edge/file_view.py
@@ -39,7 +39,7 @@
         self.blocks: OrderedDict[int, Block] = OrderedDict()
 
     async def refresh(self, runner: OperationRunner, numbers: Iterable[int], since: float) -> None:
-        """Reads the file's row and the given blocks again if they were read before the loop's time `since`.
+        """Rereads the file's row and the given blocks if they are older than the loop's time `since`.
 
         Raises:
             RequestRejectedError: The file was removed.
--- a/rushmux/edge/garbage_collector.py
+++ b/rushmux/edge/garbage_collector.py
@@ -1,7 +1,7 @@
-"""Drops objects that no row refers to any more, as background work of one operation at a time.
+"""Drops objects that no row refers to any more, one operation at a time in the background.
 
-The change that frees objects records them in garbage rows among the folder's rows, so that any edge can
-finish the work of one that was killed.
+The change that frees objects records them in garbage rows of the folder, so that any edge can finish the work
+of one that was killed.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 RETRY_DELAY = 5.0  # seconds until a folder is retried after an operation was shed or failed
 OPERATION_TIMEOUT = 10.0  # seconds
 BATCH_SIZE = 64  # rows read, or objects dropped, in one operation
-MAX_ORPHANS = 4_096  # orphaned objects remembered; further ones stay until a scrubber removes them
+MAX_ORPHANS = 4_096  # orphans remembered; further ones are left for a scrubber
 
 
 class GarbageCollector:
@@ -32,7 +32,7 @@
         driver.on_orphaned_object = self.on_orphaned_object
 
     def on_orphaned_object(self, folder: str, cell: int, name: str) -> None:
-        """Records the redundant copy that a repeated attempt of a write left in a cell."""
+        """Records a redundant copy, left by a repeated write attempt."""
         if self.orphan_count < MAX_ORPHANS:
             self.orphan_count += 1
             self.orphans.setdefault(folder, []).append((cell, name))
--- a/rushmux/edge/group_commit.py
+++ b/rushmux/edge/group_commit.py
@@ -68,7 +68,7 @@
         write.done.result()
 
     async def append(self, runner: OperationRunner, data: bytes) -> None:
-        """Writes at the current end of the file; concurrent appends through other edges are not lost."""
+        """Writes at the end of the file; concurrent appends through other edges are not lost."""
         view = self.view
         for attempt in range(MAX_CONFLICTS):
             await runner.back_off(attempt)
@@ -81,7 +81,7 @@
         raise ContentionError("the file")
 
     async def _commit_pending(self, runner: OperationRunner) -> None:
-        """Commits a batch within this writer's deadline; if it fails, the batch stays pending for others."""
+        """Commits a batch within this writer's deadline; on failure it stays pending for others."""
         batch, self.pending = self.pending[:MAX_BATCH], self.pending[MAX_BATCH:]
         self.committing = self.loop.create_future()
         try:
@@ -121,7 +121,7 @@
         since: float,
         only_version: int | None,
     ) -> bool | None:
-        """Makes one attempt of `_commit`; returns None if the rows have changed since they were read."""
+        """Like `_commit`, but tries once; returns None if the rows have changed since they were read."""
         view = self.view
         numbers = list(dict.fromkeys(number for write in batch for number, _ in write.extents))
         await view.refresh(runner, numbers, since)
@@ -135,8 +135,7 @@
         if blocks is None:
             return None
         size = max([file.size, *(write.end for write in batch)])
-        # The stamp is cleared so that an edge recovering older buffered writes does not take this change for
-        # its own batch.
+        # Without a stamp, an edge that recovers older buffered writes cannot take this change for its batch.
         file = file._replace(size=size, mtime=self.file_system.wall_clock(), batch_stamp="")
         change.checks += blocks.checks
         change.puts = [(key, layout.pack_file(file)), *blocks.puts]
@@ -156,7 +155,7 @@
     async def _block_updates(
         self, runner: OperationRunner, data_id: str, numbers: Iterable[int], batch: Sequence[StoredWrite]
     ) -> BlockUpdates | None:
-        """Computes the blocks with a batch applied; returns None if an object was replaced meanwhile."""
+        """Applies a batch to the blocks; returns None if an object was replaced meanwhile."""
         updates = BlockUpdates()
         for number in numbers:
             block = self.view.blocks[number]
@@ -168,7 +167,7 @@
             if len(extents) > self.file_system.settings.max_extents:
                 try:
                     extents = [await compact_block(runner, extents)]
-                except ObjectMissingError:  # the block has changed, so its version check would fail
+                except ObjectMissingError:  # the block's version check would fail
                     return None
             key = layout.block_key(data_id, number)
             updates.checks.append(check_version(key, block.version))
--- a/rushmux/edge/handles.py
+++ b/rushmux/edge/handles.py
@@ -7,11 +7,11 @@
 
 
 class OpenDirectory:
-    """An open directory and the position in its listing.
+    """An open directory and its listing position.
 
     Attributes:
         path: Names of the directory's path from the root; updated by renames.
-        remaining_folders: Folders still to be listed, if this is the root; None: it is not the root.
+        remaining_folders: Folders still to be listed; None: not the root.
         next_key: The key to continue after (empty: from the first).
         exhausted: Whether all entries were listed.
     """
@@ -33,7 +33,7 @@
         self.opened_count = 0
 
     def check_capacity(self) -> None:
-        """Raises RequestRejectedError if no more handles may be opened."""
+        """Raises RequestRejectedError if the table is full."""
         if len(self.by_id) >= self.max_handles:
             raise RequestRejectedError(
                 sftp.FAILURE, f"the session has {self.max_handles} open handles, the maximum"
@@ -51,11 +51,11 @@
         return self.by_id.get(handle)
 
     def file(self, handle: bytes) -> OpenFile:
-        """Returns the open file of a handle; raises RequestRejectedError if there is none."""
+        """Returns a handle's open file, or raises RequestRejectedError."""
         return self._require(handle, OpenFile)
 
     def directory(self, handle: bytes) -> OpenDirectory:
-        """Returns the open directory of a handle; raises RequestRejectedError if there is none."""
+        """Returns a handle's open directory, or raises RequestRejectedError."""
         return self._require(handle, OpenDirectory)
 
     def _require(self, handle: bytes, kind: type):
@@ -65,13 +65,13 @@
         return opened
 
     def remove(self, handle: bytes) -> OpenFile | OpenDirectory:
-        """Removes a handle and returns what it has open; raises RequestRejectedError if it is not open."""
+        """Removes a handle and returns what it had open, or raises RequestRejectedError."""
         opened = self._require(handle, (OpenFile, OpenDirectory))
         del self.by_id[handle]
         return opened
 
     def on_renamed(self, path: Names, target: Names) -> None:
-        """Updates the paths of open files and directories at or below a renamed path."""
+        """Updates the paths of handles at or below a renamed path."""
         for opened in self.by_id.values():
             if opened.path[: len(path)] == path:
                 opened.path = target + opened.path[len(path) :]
--- a/rushmux/edge/node_connections.py
+++ b/rushmux/edge/node_connections.py
@@ -1,4 +1,4 @@
-"""Connections of an edge to storage nodes, shared by all operations and re-opened with backoff.
+"""An edge's connections to storage nodes, shared by all operations and re-opened with backoff.
 
 `NodeConnections.send` sends one attempt and calls back once with its result
 (`scheduling.interface.AttemptResult`), always after `send` has returned.
@@ -56,7 +56,7 @@
 
 
 def next_backoff(failures: int, rng: random.Random) -> float:
-    """Returns the pause in seconds after consecutive failures: exponential, with a random half."""
+    """Returns the pause in seconds after consecutive failures: exponential, half of it random."""
     return RECONNECT_BACKOFF.drawn_pause(failures, rng)
 
 
@@ -75,7 +75,7 @@
         self.failures, self.retry_at = 0, 0.0
 
     def send(self, execute: messages.Execute, on_result: OutcomeCallback, latest_start: float) -> int:
-        """Sends an attempt, or queues it until the connection is open; returns its correlation id."""
+        """Sends or queues an attempt; returns its correlation id."""
         loop = asyncio.get_running_loop()
         correlation_id = execute.corr = self.connections.next_correlation_id()
         if self.writer is not None:
@@ -104,7 +104,7 @@
         self.drop(correlation_id)
 
     def drop(self, correlation_id: int) -> None:
-        """Forgets an attempt or a load report; one that was not sent yet will not be sent."""
+        """Forgets an attempt or a load report, and does not send it any more."""
         for requests in (self.unsent, self.pending, self.pending_load_reports):
             requests.pop(correlation_id, None)
 
@@ -123,7 +123,7 @@
             self.task.cancel()
 
     async def _run(self) -> None:
-        """Connects, sends the unsent attempts, and reads replies until the connection ends."""
+        """Connects, sends unsent attempts, and reads replies until the connection ends."""
         loop, reason = asyncio.get_running_loop(), "closed by the node"
         try:
             async with asyncio.timeout(self.connections.connect_timeout):
@@ -140,7 +140,7 @@
             self._on_closed(reason, loop.time())
 
     async def _connect(self) -> list[messages.Message]:
-        """Opens the connection, sends hello and returns the node's first messages."""
+        """Connects, sends hello and returns the node's first messages."""
         reader, writer = await asyncio.open_connection(*self.address)
         self.stream = Stream(reader, writer, FrameReader())
         writer.write(frame(messages.Message(hello=self.connections.hello)))
@@ -269,7 +269,7 @@
         on_result: OutcomeCallback,
         latest_start: float = NEVER,
     ) -> PendingRequest | None:
-        """Sends an attempt over the node's least busy connection, but not after the loop time `latest_start`.
+        """Sends an attempt over the least busy connection, but not after the loop time `latest_start`.
 
         `on_result(result, outcome)` is called once, later, unless the request is dropped.  Returns None if
         the node's address is not known.
@@ -282,7 +282,7 @@
         return PendingRequest(connection, connection.send(execute, on_result, latest_start))
 
     def request_load_report(self, node: str, on_report: LoadCallback) -> PendingRequest | None:
-        """Requests a load report over an open connection; opens none, as a report is not worth the cost.
+        """Requests a load report over an open connection only; it is not worth a connect.
 
         `on_report(result, load)` is called once, later, unless the request is dropped.
         """
@@ -294,7 +294,7 @@
         return None
 
     async def close(self) -> None:
-        """Closes all connections and waits until they are closed."""
+        """Closes all connections and waits for their end."""
         tasks = [
             connection.task
             for connections in self.by_node.values()
--- a/rushmux/edge/openfile.py
+++ b/rushmux/edge/openfile.py
@@ -38,7 +38,7 @@
             self.buffered_file.open_handles += 1
 
     def release(self) -> None:
-        """Releases the buffer's reference to the file when the handle closes."""
+        """Releases the file in the buffer when the handle closes."""
         if self.buffer is not None:
             self.buffered_file.open_handles -= 1
             self.buffer.on_handle_closed(self.buffered_file)
@@ -49,10 +49,10 @@
             await self.buffer.flush(self.buffered_file, runner)
 
     async def read(self, runner: OperationRunner, offset: int, length: int) -> bytes:
-        """Reads up to `length` bytes at `offset`, fewer at the end of the file; holes read as zeros."""
+        """Reads bytes at `offset`, fewer at the end of the file; holes read as zeros."""
         length = min(length, self.file_system.settings.object_bytes)
         since = self.loop.time() - self.file_system.settings.max_row_age
-        # Taken before the rows are read, so that data flushed meanwhile is in at least one of the two.
+        # Taken before the rows are read, so that data flushed meanwhile is not missed.
         buffered, buffered_end = [], 0
         if self.buffer is not None:
             buffered = self.buffered_file.overlay(offset, offset + length)
--- a/rushmux/edge/operation_runner.py
+++ b/rushmux/edge/operation_runner.py
@@ -19,7 +19,7 @@
 from rushmux.nodewire import messages
 
 MAX_CONFLICTS = 12  # attempts at one change; more would not help under such contention
-CONFLICT_BACKOFF = 0.002  # seconds; separates two edges that collide by chance within a few attempts
+CONFLICT_BACKOFF = 0.002  # seconds; a few attempts separate two edges that collide by chance
 MAX_CONFLICT_BACKOFF = 0.2  # seconds; far less than any client's time limit
 CONTENTION_BACKOFF = Backoff(CONFLICT_BACKOFF, MAX_CONFLICT_BACKOFF)
 MIN_TIME_LEFT = 0.02  # seconds; with less left, an operation is shed instead of started
@@ -64,7 +64,7 @@
 
 
 class OperationRunner:
-    """Runs the operations of one client request, or of a piece of background work, in one folder.
+    """Runs the operations of one client request or background task in one folder.
 
     Attributes:
         driver: The edge's driver.
@@ -78,7 +78,7 @@
         self.roles = driver.deployment.roles
 
     async def back_off(self, attempt: int) -> None:
-        """Waits a random time before a repeated attempt at a change; attempt 0 is not delayed."""
+        """Waits a random time before a repeated attempt; attempt 0 is not delayed."""
         if attempt:
             await asyncio.sleep(self.driver.rng.random() * CONTENTION_BACKOFF.pause(attempt))
 
--- a/rushmux/edge/planner_client.py
+++ b/rushmux/edge/planner_client.py
@@ -1,6 +1,6 @@
-"""The edge's connection to the planners, for endpoint list, quota and policy messages.
+"""The edge's connection to the planners, for endpoint lists, quotas and policies.
 
-The client reconnects with backoff; meanwhile the last endpoint list stays in use.
+It reconnects with backoff; meanwhile the last endpoint list stays in use.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from rushmux.nodewire import FrameReader, WireError, frame, messages
 
 CONNECT_TIMEOUT = 2.0  # seconds
-REQUEST_INTERVAL = 0.5  # seconds between requests at most; a change reaches all edges within two of them
+REQUEST_INTERVAL = 0.5  # seconds at most; a change reaches all edges within two intervals
 REQUEST_JITTER = 0.5  # random fraction of the interval, so that hundreds of edges do not ask at once
 
 
@@ -21,7 +21,7 @@
 
 
 class PlannerClient:
-    """Connects to one planner at a time, and to the next one if that does not serve.
+    """Connects to one planner at a time, and to the next if it does not serve.
 
     Attributes:
         on_listing: Called with each listing, in order.
@@ -42,7 +42,7 @@
         self.hello, self.rng, self.log, self.on_listing = hello, rng, log, on_listing
         self.on_quota_grant: Callable[[messages.Grant], None] = lambda grant: None
         self.on_policy_grant: Callable[[messages.PolicyGrant], None] = lambda grant: None
-        self.address_index = 0  # next planner to connect to, modulo the number of addresses
+        self.address_index = 0  # of the next planner, modulo the number of addresses
         self.writer: asyncio.StreamWriter | None = None
         self._failures = 0  # connections that ended since the last listing
         self._listed = False  # whether a listing came over this connection
@@ -55,7 +55,7 @@
         return True
 
     def try_next_planner(self) -> None:
-        """Drops a connection that does not answer; the planner may be stopped or unreachable."""
+        """Drops a silent connection; its planner may be stopped or unreachable."""
         if self.writer is not None:
             self.address_index += 1
             self.writer.transport.abort()
@@ -72,7 +72,7 @@
             await asyncio.sleep(pause)
 
     async def _run_connection(self) -> str:
-        """Opens a connection, handles its messages until it ends, and returns the reason of the end."""
+        """Connects, handles messages until the connection ends, and returns the reason of the end."""
         self._listed = False
         address, writer = self.addresses[self.address_index % len(self.addresses)], None
         try:
--- a/rushmux/edge/policy_client.py
+++ b/rushmux/edge/policy_client.py
@@ -1,4 +1,4 @@
-"""The edge's client of the fleet's policy: renews the lease and applies the effective policy to the driver.
+"""Renews the edge's lease of the fleet's policy, and applies the effective policy to the driver.
 
 `fleet.policy.PolicyMember` determines the effective policy.
 """
@@ -103,7 +103,7 @@
         self.last_grant_at = self.loop.time()
         if self.lease_timer is not None:
             self.lease_timer.cancel()
-        # The expiry must be handled even if no other event occurs.
+        # The expiry must be handled without any other event.
         self.lease_timer = self.loop.call_at(self.member.lease_expiry, self._apply)
 
     def _apply_active_policy(self) -> None:
@@ -118,7 +118,7 @@
         return self.member.is_serving()
 
     def _on_fenced(self, floor: int) -> None:
-        """Handles a node's rejection of an attempt whose policy version is older than any still in use."""
+        """Handles a node's rejection of this edge's policy version, which is older than any still in use."""
         if floor > self.member.fenced_below:
             self.member.on_fenced(floor)
             self.log.error("policy.fenced", version=self.member.active_version, floor=floor)
@@ -149,8 +149,8 @@
         self.edge.on_policy_state(state)
 
     def _scale_limits(self, limits: Limits) -> None:
-        # The scheduler's limits are fixed when it is built, so new ones are applied as a factor: the smaller
-        # of the ratios of limit and burst.
+        # The scheduler's limits are fixed, so new ones are applied as a factor: the smaller ratio of limits
+        # and of bursts.
         scales = {}
         for folder, built in self.built_limits.items():
             if folder in limits and all(built):
--- a/rushmux/edge/policy_store.py
+++ b/rushmux/edge/policy_store.py
@@ -1,7 +1,6 @@
-"""The fleet's policy on an edge's disk: the active policy and a staged change, kept across restarts.
+"""The active and the staged policy of the fleet, kept on an edge's disk across restarts.
 
-The file is JSON with a magic word, a format number, a checksum and both policies.  It is replaced atomically
-and synced.
+The file holds magic word, format, checksum and both policies as JSON, and is replaced atomically and synced.
 """
 
 import json
@@ -32,7 +31,7 @@
 
 
 class PolicyFormatError(StoredPolicyError):
-    """The file has another program version's format; this version must not start or overwrite the file.
+    """The file has another program version's format, and must not be used or overwritten.
 
     Attributes:
         format: The format of the file.
@@ -63,7 +62,7 @@
 
         Raises:
             PolicyFormatError: The file has another format.
-            StoredPolicyError: The file is unreadable or damaged, so what the edge had accepted is unknown.
+            StoredPolicyError: The file is unreadable or damaged: what the edge had accepted is unknown.
         """
         try:
             with open(self.path, "rb") as source:
@@ -93,7 +92,7 @@
 
 
 class InitialPolicy(NamedTuple):
-    """The deployment that an edge starts with, and the policies read from its disk."""
+    """The deployment that an edge starts with, and its stored policies."""
 
     deployment: Deployment
     stored: StoredPolicies
--- a/rushmux/edge/quota_client.py
+++ b/rushmux/edge/quota_client.py
@@ -62,7 +62,7 @@
         if not self.quotas.on_grant(loop.time(), grant):
             return
         self._apply()
-        # The expiry must be handled even if no other event occurs.
+        # The expiry must be handled without any other event.
         if self.lease_timer is not None:
             self.lease_timer.cancel()
         self.lease_timer = loop.call_at(self.quotas.lease_expiry, self._apply)
--- a/rushmux/edge/request_access.py
+++ b/rushmux/edge/request_access.py
@@ -1,4 +1,4 @@
-"""Determines what a request accesses, and so which requests it waits for (`request_ordering`)."""
+"""Determines what a request accesses, for `request_ordering`."""
 
 import contextlib
 from collections.abc import Iterable
--- a/rushmux/edge/request_context.py
+++ b/rushmux/edge/request_context.py
@@ -50,7 +50,7 @@
 
         Raises:
             InvalidPathError: The path is not accepted.
-            RequestRejectedError: The folder does not exist, or this edge does not serve it.
+            RequestRejectedError: The folder is unknown, or this edge does not serve it.
         """
         names = paths.split(path)
         if not names:
@@ -75,7 +75,7 @@
         return location
 
     def attributes(self, folder: str, file_id: str, file: FileRow) -> sftp.Attributes:
-        """Returns a file's attributes for clients; the size includes buffered writes."""
+        """Returns a file's attributes with the size including buffered writes."""
         buffered_file = self.buffer and self.buffer.writes.find_file(folder, file_id)
         if buffered_file:
             file = file._replace(size=max(file.size, buffered_file.end))
--- a/rushmux/edge/request_handlers.py
+++ b/rushmux/edge/request_handlers.py
@@ -1,7 +1,6 @@
 """Dispatches each request packet to its handler, which returns the reply packet.
 
-A handler that cannot do its request raises an error (`edge.errors`, `files.paths.InvalidPathError`), which
-the session converts to a status reply.
+The session converts a handler's errors (`edge.errors`, `files.paths.InvalidPathError`) to status replies.
 """
 
 import struct
--- a/rushmux/edge/request_ordering.py
+++ b/rushmux/edge/request_ordering.py
@@ -1,8 +1,8 @@
 """Determines which requests of a session must wait for earlier ones.
 
-SFTP lets a server process requests concurrently if the results are the same as in sequence.  Reads run
-concurrently, and so do writes to ranges that do not overlap.  A change of a name waits for all requests on
-that path and on paths above or below it, and a lookup of attributes waits for writes there.
+SFTP allows any order that gives the same results as the order of arrival.  Reads run concurrently, and so do
+writes to ranges that do not overlap.  A change of a name waits for all requests on that path and on paths
+above or below it, and a lookup of attributes waits for writes there.
 """
 
 import asyncio
@@ -43,14 +43,14 @@
 
 
 class Admission(NamedTuple):
-    """A request's number in its session, and the requests that it must wait for."""
+    """A request's number in its session, and what it must wait for."""
 
     number: int
     predecessors: list[asyncio.Future]
 
 
 def is_same_or_above(one: tuple[str, ...], other: tuple[str, ...]) -> bool:
-    """Whether two paths are equal, or either lies above the other."""
+    """Whether two paths are equal or one lies above the other."""
     shorter = min(len(one), len(other))
     return one[:shorter] == other[:shorter]
 
--- a/rushmux/edge/session.py
+++ b/rushmux/edge/session.py
@@ -208,7 +208,7 @@
                 return await handler(request.packet, runner_for)
 
     async def _wait_for_recovery(self, access: Access, deadline: float) -> None:
-        """Waits until writes that an earlier start buffered for the request's folders are on the nodes."""
+        """Waits until writes that an earlier start buffered in these folders are on nodes."""
         buffer = self.edge.buffer
         if buffer is not None and buffer.recovering:
             for path in access.paths:
--- a/rushmux/edge/write_coalescing.py
+++ b/rushmux/edge/write_coalescing.py
@@ -4,7 +4,7 @@
 
 
 class CoalescingWriter:
-    """Buffers writes and passes them to a stream at the end of the event loop iteration."""
+    """Passes the writes of a loop iteration to a stream at its end."""
 
     def __init__(self, writer: asyncio.StreamWriter):
         self.writer = writer
--- a/rushmux/files/layout.py
+++ b/rushmux/files/layout.py
@@ -85,7 +85,7 @@
 
 
 class Garbage(NamedTuple):
-    """Objects to drop: a list of (cell, object), and all objects of a data id (empty: none)."""
+    """Objects to drop, each (cell, object), and all objects of a data id (empty: none)."""
 
     objects: Sequence[tuple[int, str]]
     data_id: str
@@ -98,42 +98,42 @@
 
 
 def entry_key(parent_id: str, name: str) -> str:
-    """Returns the key of a directory entry."""
+    """Returns a directory entry's key."""
     return f"d/{parent_id}/{name}"
 
 
 def file_key(file_id: str) -> str:
-    """Returns the key of a file or directory row."""
+    """Returns a file or directory row's key."""
     return f"i/{file_id}"
 
 
 def block_key(data_id: str, number: int) -> str:
-    """Returns the key of a block's row."""
+    """Returns a block row's key."""
     return f"b/{data_id}/{number:0{BLOCK_DIGITS}d}"
 
 
 def block_number(key: str) -> int:
-    """Returns the block number in a block's key."""
+    """Returns the number in a block row's key."""
     return int(key.rsplit("/", 1)[1])
 
 
 def garbage_key(unique_name: str) -> str:
-    """Returns the key of a garbage row."""
+    """Returns a garbage row's key."""
     return f"x/{unique_name}"
 
 
 def entry_keys(parent_id: str) -> KeyRange:
-    """Returns the key range of a directory's entries."""
+    """Returns the keys of a directory's entries."""
     return KeyRange(f"d/{parent_id}/", f"d/{parent_id}0")
 
 
 def block_keys(data_id: str, first: int = 0) -> KeyRange:
-    """Returns the key range of a file's blocks from block `first` on."""
+    """Returns the keys of a file's blocks from `first` on."""
     return KeyRange(block_key(data_id, first - 1) if first else f"b/{data_id}/", f"b/{data_id}0")
 
 
 def max_file_size(block_size: int) -> int:
-    """Returns the maximum size of a file with the given block size."""
+    """Returns the maximum size of a file."""
     return block_size * 10**BLOCK_DIGITS
 
 
@@ -141,49 +141,49 @@
 
 
 def pack_entry(file_id: str, kind: FileKind) -> bytes:
-    """Encodes the value of a directory entry."""
+    """Encodes a directory entry's value."""
     return orjson.dumps([file_id, kind])
 
 
 def unpack_entry(value: bytes) -> Entry:
-    """Decodes the value of a directory entry."""
+    """Decodes a directory entry's value."""
     file_id, kind = orjson.loads(value)
     return Entry(file_id, FileKind(kind))
 
 
 def pack_file(file: FileRow) -> bytes:
-    """Encodes the value of a file or directory row."""
+    """Encodes a file or directory row's value."""
     return orjson.dumps(tuple(file))
 
 
 def unpack_file(value: bytes) -> FileRow:
-    """Decodes the value of a file or directory row."""
+    """Decodes a file or directory row's value."""
     kind, *rest = orjson.loads(value)
     return FileRow(FileKind(kind), *rest)
 
 
 def pack_block(extents: Iterable[Extent]) -> bytes:
-    """Encodes the value of a block's row."""
+    """Encodes a block row's value."""
     return orjson.dumps([tuple(extent) for extent in extents])
 
 
 def unpack_block(value: bytes) -> list[Extent]:
-    """Decodes the value of a block's row."""
+    """Decodes a block row's value."""
     return [Extent(*row) for row in orjson.loads(value)]
 
 
 def pack_garbage_objects(objects: Sequence[tuple[int, str]]) -> bytes:
-    """Encodes the value of a garbage row for objects given as (cell, object)."""
+    """Encodes a garbage row's value for objects, each (cell, object)."""
     return orjson.dumps({"objects": objects})
 
 
 def pack_garbage_data(data_id: str) -> bytes:
-    """Encodes the value of a garbage row for all objects of a file's data."""
+    """Encodes a garbage row's value for all objects of a data id."""
     return orjson.dumps({"data": data_id})
 
 
 def unpack_garbage(value: bytes) -> Garbage:
-    """Decodes the value of a garbage row."""
+    """Decodes a garbage row's value."""
     fields = orjson.loads(value)
     return Garbage(fields.get("objects", ()), fields.get("data", ""))
 
@@ -202,7 +202,7 @@
 
 
 def overlay(extents: Iterable[Extent], new: Extent) -> list[Extent]:
-    """Returns the extents after `new` was written over them; overlapped ones are cut or removed."""
+    """Returns the extents with `new` written over them."""
     result = []
     for old in extents:
         if old.start < new.start:
@@ -214,7 +214,7 @@
                     start=old.start + cut, length=old.length - cut, object_offset=old.object_offset + cut
                 )
             )
-    # An extent that does not overlap `new` met exactly one of the conditions and was kept unchanged.
+    # An extent that does not overlap `new` met one of the conditions and is unchanged.
     result.append(new)
     return sorted(result)
 
@@ -242,7 +242,7 @@
 
 
 def unreferenced(before: Iterable[Extent], after: Iterable[Extent]) -> list[tuple[int, str]]:
-    """Returns each (cell, object) that extents in `before` refer to and extents in `after` do not."""
+    """Returns each (cell, object) that extents refer to before and not after."""
     referenced = {extent.object_name for extent in after}
     cell_of = {extent.object_name: extent.cell for extent in before if extent.object_name not in referenced}
     return [(cell, name) for name, cell in cell_of.items()]
--- a/rushmux/sftp/fields.py
+++ b/rushmux/sftp/fields.py
@@ -43,7 +43,7 @@
 
 
 class FieldReader:
-    """Reads a packet's fields in sequence; raises ProtocolError if one exceeds the packet."""
+    """Reads a packet's fields in order; raises ProtocolError past its end."""
 
     def __init__(self, data: bytes | memoryview, position: int = 0):
         self.data, self.position = data, position
@@ -96,7 +96,7 @@
         return tuple(Name(self.text(), self.text(), self.attributes()) for _ in range(self.u32()))
 
     def pairs(self) -> tuple[tuple[str, bytes], ...]:
-        """Reads names and data of extensions up to the end of the packet."""
+        """Reads extensions' names and data up to the packet's end."""
         pairs = []
         while self.has_more():
             pairs.append((self.text(), self.raw()))
