--- a/rushmux/edge/node_connections.py
+++ b/rushmux/edge/node_connections.py
@@ -57,7 +57,7 @@
 
 def next_backoff(failures: int, rng: random.Random) -> float:
     """Returns the pause in seconds after consecutive failures: exponential, half of it random."""
-    return RECONNECT_BACKOFF.drawn_pause(failures, rng)
+    return RECONNECT_BACKOFF.jittered_pause(failures, rng)
 
 
 class NodeConnection:
--- a/rushmux/standins/platform/client.py
+++ b/rushmux/standins/platform/client.py
@@ -1,4 +1,4 @@
-"""A client of the gateway."""
+"""A fake client of the gateway."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     """A client's connection.
 
     Attributes:
-        was_reset: Whether the connection ended by a reset, and not in order.
-        replies_received: Replies so far.
+        was_reset: Whether the connection was reset.
+        replies_received: Number of replies so far.
     """
 
     def __init__(self):
@@ -34,7 +34,7 @@
         self.writer.write(encode_command(arguments))
 
     async def reply(self, within: float = 5.0) -> tuple | None:
-        """Returns kind and value of the next reply; None: the connection ended.  TimeoutError."""
+        """Returns the next reply's kind and value, or None if the connection ended; raises TimeoutError."""
         async with asyncio.timeout(within):
             while (reply := self.reply_reader.next_reply()) is None:
                 try:
