--- a/rushmux/standins/hostile_messages.py
+++ b/rushmux/standins/hostile_messages.py
@@ -38,7 +38,7 @@
 UNSIGNED = {FieldDescriptor.TYPE_UINT32: 2**32 - 1, FieldDescriptor.TYPE_FIXED32: 2**32 - 1}
 
 
-def drawn_message(rng: random.Random, bodies: Sequence[str]) -> Message:
+def random_message(rng: random.Random, bodies: Sequence[str]) -> Message:
     """A message with one of these bodies, its fields drawn."""
     message = messages.Message()
     field = messages.Message.DESCRIPTOR.fields_by_name[rng.choice(bodies)]
@@ -47,11 +47,11 @@
     return message
 
 
-def drawn_session(rng: random.Random, peer: str, bodies: Sequence[str]) -> bytes:
+def random_session(rng: random.Random, peer: str, bodies: Sequence[str]) -> bytes:
     """What a hostile peer sends on one connection: a greeting under this name, and drawn messages."""
     sent = bytearray(frame(messages.Message(hello=messages.Hello(version=VERSION, peer=peer, start="1"))))
     for _ in range(rng.randint(1, MAX_MESSAGES)):
-        encoded = frame(drawn_message(rng, bodies))
+        encoded = frame(random_message(rng, bodies))
         if rng.random() < CUT_CHANCE:
             return bytes(sent + encoded[: rng.randrange(len(encoded))])
         sent += encoded * rng.choice((1, 1, 2))
--- a/rushmux/standins/policy_fleet.py
+++ b/rushmux/standins/policy_fleet.py
@@ -94,7 +94,7 @@
         port = await process.spawn(program.open(HOST, FIRST_PORT + PLANNERS.index(name)))
         self.planners[name] = Part(process, program, port)
 
-    def kill_planner_of(self, name):
+    def kill_planner_by_name(self, name):
         """Kills one of the planners."""
         part = self.planners.pop(name)
         part.process.kill()
@@ -173,7 +173,7 @@
         """Kills a planner, unless it is the last, and starts it again after a while."""
         if len(self.planners) > 1:
             name = self.draw.choice(sorted(self.planners))
-            self.kill_planner_of(name)
+            self.kill_planner_by_name(name)
             await self.sleep(0.05 * 200 ** self.draw.random())
             await self.start_planner(name)
 
@@ -250,11 +250,11 @@
     logs: list
 
 
-def played(seed, folder, edges=3, nodes=2) -> Result:
+def run_seed(seed, folder, edges=3, nodes=2) -> Result:
     """One seed on a fleet of its own, whose disks lie in `folder`."""
     deployment = build(fault_scenario.raw_deployment(fault_scenario.parse(f"edges {edges}\n")))
 
-    async def run_seed(loop):
+    async def play(loop):
         fleet = PolicyFleet(loop, deployment, seed, folder)
         await fleet.up(nodes, edges)
         until, faults = loop.time() + FAULT_TIME, draw_faults(fleet.draw)
@@ -279,4 +279,4 @@
             fleet.logs,
         )
 
-    return run(run_seed, seed)
+    return run(play, seed)
--- a/rushmux/standins/report.py
+++ b/rushmux/standins/report.py
@@ -32,7 +32,7 @@
 Row = Mapping[str, Any]
 
 
-class Service:
+class ServiceStatistics:
     """Counts of a day's requests by plan, and the worst window.
 
     Attributes:
@@ -71,7 +71,7 @@
             self._windows[int((request["at"] - self._begun_at) // WINDOW)][kind] += 1
 
     def _count_answer(self, request: Row, answer: Row) -> None:
-        kind = self.kind(answer)
+        kind = self.outcome_of(answer)
         self._count(request, kind)
         objective = self.objectives.get(request["what"], DEFAULT_OBJECTIVE)
         if kind == "succeeded" and answer["at"] - request["at"] <= objective:
@@ -84,7 +84,7 @@
         return min((count[IN_TIME] / count["asked"] for count in counted), default=0.0)
 
     @staticmethod
-    def kind(answer: Row) -> str:
+    def outcome_of(answer: Row) -> str:
         """What an answer says: one of KINDS."""
         if answer["status"] in (sftp.OK, sftp.EOF):
             return "succeeded"
@@ -111,7 +111,7 @@
 
     lines: list[str]
     rules_kept: bool
-    service: Service
+    service: ServiceStatistics
 
 
 def _verdict_lines(verdicts: Sequence[Verdict]) -> Iterator[str]:
@@ -131,6 +131,6 @@
         max_delay: Longest time that a message is on its way, seconds.
     """
     verdicts = Checker(records, deployment, max_delay).verdicts()
-    service = Service(records, deployment)
+    service = ServiceStatistics(records, deployment)
     rules_kept = not any(verdict.breaches for verdict in verdicts)
     return Report([*service.lines(), "", *_verdict_lines(verdicts)], rules_kept, service)
--- a/tests/edge/test_hard_cases.py
+++ b/tests/edge/test_hard_cases.py
@@ -135,7 +135,7 @@
 
     fleet, _ = run_checked_fleet(steps, nodes=4, edges=3, unit=0.02)
     counts = {name: {"asked": 0, "in time": 0} for name in ("caribe", "others")}
-    service = report.Service(fleet.all_records(), build(raw))
+    service = report.ServiceStatistics(fleet.all_records(), build(raw))
     asks = {
         (row["session"], row["number"]): row
         for row in fleet.records
@@ -146,7 +146,7 @@
         if ask:
             count = counts["caribe" if ask["folder"] == "caribe" else "others"]
             count["asked"] += 1
-            count["in time"] += service.kind(row) == "succeeded" and row["at"] - ask[
+            count["in time"] += service.outcome_of(row) == "succeeded" and row["at"] - ask[
                 "at"
             ] <= service.objectives.get(ask["what"], 0.4)
     shares = {name: count["in time"] / count["asked"] for name, count in counts.items()}
@@ -295,7 +295,7 @@
         await scenario.play(fleet, script.load("bad"), scenario.Load(part=0.6), 5)
 
     fleet, _ = run_checked_fleet(steps, nodes=6, edges=3, unit=0.02)
-    service = report.Service(fleet.all_records(), build(raw))
+    service = report.ServiceStatistics(fleet.all_records(), build(raw))
     assert service.share() > 0.8
 
 
--- a/tests/planner/test_hostile_messages.py
+++ b/tests/planner/test_hostile_messages.py
@@ -18,7 +18,7 @@
 from rushmux.settings.deployment import build
 from rushmux.simulation.loop import run
 from rushmux.standins import fault_scenario, policy_fleet
-from rushmux.standins.hostile_messages import drawn_session
+from rushmux.standins.hostile_messages import random_session
 
 PEERS = ("edge7", "edge8", "node7", "people", "planner x/1", "planner b", "", "x" * 5_000)
 SESSIONS = 60
@@ -99,7 +99,7 @@
     async def scenario(fleet):
         name, rng = leader(fleet), random.Random(seed)
         for _ in range(SESSIONS):
-            await send(rng.choice(fleet.places), drawn_session(rng, rng.choice(PEERS), TO_PLANNERS))
+            await send(rng.choice(fleet.places), random_session(rng, rng.choice(PEERS), TO_PLANNERS))
         await fleet.sleep(2)
         await assert_serves(fleet, name)
 
@@ -137,7 +137,7 @@
         name = leader(fleet)
         raw = raw_deployment()
         raw["plans"]["basico"].update(limit=40.0, burst=80.0)
-        fleet.edges[1].process.hold(3)
+        fleet.edges[1].process.pause(3)
         await fleet.send_policy_command("held", "propose", text=documents.serialize(raw))
         request = messages.PolicyAsk(member="edge1", ask=1, force=1, refused=2, against="\1" * 400_000)
         await send(
--- a/tests/planner/test_replicated_policy.py
+++ b/tests/planner/test_replicated_policy.py
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_random_faults_break_no_rule_and_all_members_converge(seed, tmp_path):
-    result = policy_fleet.played(seed, tmp_path)
+    result = policy_fleet.run_seed(seed, tmp_path)
     assert result.breaches == []
     assert result.facts["decide"] >= 2 and result.facts["answers"] > 200
 
@@ -78,7 +78,7 @@
         assert replicated_log.storage_failed_at is None and replicated_log.policy.active.version == 2
         assert any(row["event"] == "raft.storage_failed" for row in fleet.logs)
         # It votes again: without the leader, its vote is needed for a majority.
-        fleet.kill_planner_of(leader(fleet))
+        fleet.kill_planner_by_name(leader(fleet))
         await propose(fleet, "after", 50.0)
         await fleet.sleep(6)
         assert replicated_log.policy.active.version == 3
@@ -127,7 +127,7 @@
         answer = await admin_client.send_fleet_command(fleet.places, "drain", "node0")
         assert {row.member: row.condition for row in answer.members}["node0"] in ("draining", "drained")
         for name in list(fleet.planners):
-            fleet.kill_planner_of(name)
+            fleet.kill_planner_by_name(name)
         for name in policy_fleet.PLANNERS:
             await fleet.start_planner(name)
         await fleet.sleep(8)
@@ -142,7 +142,7 @@
 def test_a_planner_that_was_away_catches_up_by_a_snapshot(run_fleet):
     async def scenario(fleet):
         name = next(name for name in policy_fleet.PLANNERS if name != leader(fleet))
-        fleet.kill_planner_of(name)
+        fleet.kill_planner_by_name(name)
         for number in range(260):  # enough entries to compact the log
             await admin_client.send_fleet_command(fleet.places, ("drain", "undrain")[number % 2], "node0")
         assert fleet.planners[leader(fleet)].program.replicated_log.node.snapshot.index > 100
@@ -153,7 +153,7 @@
         assert replicated_log.node.snapshot.index > 100 and replicated_log.policy.active.version == 2
         assert replicated_log.policy.members == ("edge0", "edge1")
         # It also loads the snapshot from its disk.
-        fleet.kill_planner_of(name)
+        fleet.kill_planner_by_name(name)
         await fleet.start_planner(name)
         assert fleet.planners[name].program.replicated_log.policy.members == ("edge0", "edge1")
 
