--- a/rushmux/standins/checker.py
+++ b/rushmux/standins/checker.py
@@ -1,9 +1,9 @@
-"""Checks a day by its recordings alone: the seven rules, and the bytes read against those written.
+"""Checks the recordings of a day against `RULES`.
 
-Recordings are rows with a `kind` and a time `at` in seconds of one clock: of the clients (session, ask,
-answer, left, writing, wrote, unsure, got), of the nodes' sockets (start, execution, outcome, effect, reset,
-fell), of what edges were told (told) and of what was done to the fleet (killed).  An operation's id reads
-EDGE.START.NUMBER/SESSION.REQUEST, or /- where no client asked for it.
+Recordings are rows with a `kind` and a time `at` (seconds of a common clock): of clients (session, ask,
+answer, left, writing, wrote, unsure, got), nodes' sockets (start, execution, outcome, effect, reset, fell),
+edges (took; told: the endpoint list) and faults (killed).  Operation ids have the form
+EDGE.START.NUMBER/SESSION.REQUEST, or EDGE.START.NUMBER/- if no client requested the operation.
 """
 
 from bisect import bisect_left, bisect_right
@@ -28,19 +28,19 @@
     "bytes as written",
 )
 MAX_BREACHES_SHOWN = 20
-"""Breaches of a rule that are described; more are counted."""
+"""Breaches of a rule that are described; further ones are only counted."""
 NO_REQUEST = "-"
 
 Row = Mapping[str, Any]
 
 
 class Verdict(NamedTuple):
-    """What became of one rule.
+    """The result of checking a rule.
 
     Attributes:
         rule: Its name.
-        checked: Number of events that it was checked on.
-        nearest: How near the nearest of them came; 1: the edge of it. None: nothing came near.
+        checked: Number of events that were checked.
+        nearest: The highest ratio of an event's value to the bound of the rule; None if there was none.
         breaches: Descriptions.
     """
 
@@ -51,7 +51,7 @@
 
 
 class _RuleCheck:
-    """Collects what a rule was checked on."""
+    """Collects the results of checking a rule."""
 
     def __init__(self, name: str):
         self.name = name
@@ -60,8 +60,8 @@
         self._breaches: list[str] = []
         self._not_shown = 0
 
-    def came_near(self, part: float) -> None:
-        self._nearest = part if self._nearest is None else max(self._nearest, part)
+    def record_ratio(self, ratio: float) -> None:
+        self._nearest = ratio if self._nearest is None else max(self._nearest, ratio)
 
     def breach(self, text: str) -> None:
         if len(self._breaches) < MAX_BREACHES_SHOWN:
@@ -75,19 +75,19 @@
 
 
 class Attempt(NamedTuple):
-    """An attempt as a node's socket saw it."""
+    """An attempt as it arrived at a node's socket."""
 
     at: float
     node: str
     edge: str
     start: str
-    number: int  # of the operation, in the order that its edge took them
-    request: str  # session and request, "" where no client asked
+    number: int  # of the operation, in the order in which its edge took them
+    request: str  # session and request, "" if no client requested it
     row: Row
 
     @property
     def description(self) -> str:
-        """How breaches name it."""
+        """Its name in breaches."""
         return f"{self.row['op']} execution {self.row['execution']} at {self.node}, {self.at:.4f} s"
 
 
@@ -99,19 +99,19 @@
 
 
 class _Version:
-    """A version of a file that a client wrote: when it began, when it ended, whether it was acknowledged."""
+    """A version of a file: when a client's write began and ended, and whether it was acknowledged."""
 
     def __init__(self, begun_at: float):
         self.begun_at, self.ended_at, self.acknowledged = begun_at, NEVER, False
 
 
 class Checker:
-    """All recordings of one day.
+    """Checks the recordings of a day.
 
     Args:
         records: The rows, in order of time.
-        deployment: What the fleet ran with.
-        max_delay: Longest time that a message is on its way, seconds.
+        deployment: The deployment of the fleet.
+        max_delay: Longest network delay of a message, seconds.
     """
 
     def __init__(self, records: Iterable[Row], deployment: Deployment, max_delay: float):
@@ -127,11 +127,11 @@
         self._session_left_at = {row["session"]: row["at"] for row in self.rows["left"]}
 
     def breaches(self) -> list[str]:
-        """What broke any rule."""
+        """The breaches of all rules."""
         return [text for verdict in self.verdicts() for text in verdict.breaches]
 
     def verdicts(self) -> list[Verdict]:
-        """One for each of RULES, in that order."""
+        """One verdict for each of `RULES`, in that order."""
         checks = (
             self._check_answers,
             self._check_effects,
@@ -155,7 +155,7 @@
     # No operation lost.
 
     def _check_answers(self, rule: _RuleCheck) -> None:
-        """Each request that a running edge took has one answer in time, and nothing is sent after it."""
+        """Checks that each request has one answer in time, and that no attempt is sent after the answer."""
         answers = defaultdict(list)
         for row in self.rows["answer"]:
             answers[row["session"], row["number"]].append(row)
@@ -163,29 +163,26 @@
             rule.checked += 1
             self._check_request(rule, request, answers.pop((request["session"], request["number"]), []))
         for (session, number), rows in answers.items():
-            rule.breach(
-                f"{session} request {number}: an answer that nobody asked for, at {rows[0]['at']:.4f} s"
-            )
+            rule.breach(f"{session} request {number}: an answer without a request, at {rows[0]['at']:.4f} s")
         self._check_nothing_sent_after_answers(rule)
 
     def _check_request(self, rule: _RuleCheck, request: Row, answers: Sequence[Row]) -> None:
-        patience = self.deployment.sessions.request_timeout
+        timeout = self.deployment.sessions.request_timeout
         name = f"{request['session']} request {request['number']} ({request['what']})"
         if len(answers) > 1:
             rule.breach(f"{name}: {len(answers)} answers")
         if answers:
             elapsed = answers[0]["at"] - request["at"]
-            rule.came_near(elapsed / patience)
-            if elapsed > patience:
-                rule.breach(f"{name}: answered after {elapsed:.3f} s of {patience} s")
-        elif self._excused_at(request["session"]) > request["at"] + patience:
+            rule.record_ratio(elapsed / timeout)
+            if elapsed > timeout:
+                rule.breach(f"{name}: answered after {elapsed:.3f} s, with a timeout of {timeout} s")
+        elif self._excused_at(request["session"]) > request["at"] + timeout:
             rule.breach(f"{name}: no answer")
 
     def _excused_at(self, session: str) -> float:
-        """From when on a session's answers are not owed any more.
+        """The time from which a session's answers may be missing.
 
-        An edge that closes on a client owes the answers; only its own death or the client's leaving excuses
-        them.
+        They may be missing if the edge was killed or the client left, but not if the edge closed the session.
         """
         edge = session.split("/")[0]
         return min(self._edge_killed_at.get(edge, NEVER), self._session_left_at.get(session, NEVER))
@@ -200,7 +197,7 @@
     # No effect twice.
 
     def _check_effects(self, rule: _RuleCheck) -> None:
-        """Retries of what is not idempotent stay where and when they are recognized."""
+        """Checks that changes take effect once, and that their retries reach nodes that recognize them."""
         by_operation = defaultdict(list)
         for attempt in self.attempts:
             by_operation[attempt.row["op"]].append(attempt)
@@ -213,19 +210,19 @@
         self._check_marks(rule)
 
     def _check_retries(self, rule: _RuleCheck, attempts: Sequence[Attempt], request_class) -> None:
-        """Checks the attempts of one operation that is not idempotent, in their order."""
+        """Checks the attempts, in order, of an operation that is not idempotent."""
         window = request_class.dedup_window / TICKS_PER_SECOND
-        first = None  # of those that may have run
+        first = None  # the first attempt that may have run
         for attempt in attempts:
             if first is not None:
                 elapsed = attempt.at - first.at
-                rule.came_near(elapsed / window if request_class.dedup_window else 0)
+                rule.record_ratio(elapsed / window if request_class.dedup_window else 0)
                 if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
-                    rule.breach(f"{attempt.description}: an earlier one may have run")
+                    rule.breach(f"{attempt.description}: an earlier attempt may have run")
                 elif elapsed > window + self.max_delay:
-                    rule.breach(f"{attempt.description}: its mark is forgotten by then")
+                    rule.breach(f"{attempt.description}: its deduplication mark has expired")
                 elif request_class.dedup_scope == "cell" and attempt.row["cell"] != first.row["cell"]:
-                    rule.breach(f"{attempt.description}: another cell does not know its mark")
+                    rule.breach(f"{attempt.description}: another cell does not know its deduplication mark")
             elif self._may_have_run(attempt):
                 first = attempt
 
@@ -247,7 +244,7 @@
     # Drains kept.
 
     def _check_drains(self, rule: _RuleCheck) -> None:
-        """Nothing new from an edge to a node later than the grace after it was told of its drain."""
+        """Checks that edges send no attempts to a node after the grace period of its drain."""
         told = defaultdict(list)
         for row in self.rows["told"]:
             for node, state in row["nodes"]:
@@ -260,16 +257,16 @@
                 continue
             rule.checked += 1
             elapsed = attempt.at - since
-            rule.came_near(elapsed / grace)
+            rule.record_ratio(elapsed / grace)
             if elapsed > grace:
-                rule.breach(f"{attempt.description}: told {elapsed:.3f} s before that it drains or is gone")
+                rule.breach(f"{attempt.description}: listed as draining or removed {elapsed:.3f} s before")
 
     # No cold node pushed over.
 
     def _check_cold_nodes(self, rule: _RuleCheck) -> None:
-        """What comes to a node that has just started stays under the stated multiple of its capacity."""
+        """Checks that the load of a cold node stays below the overload multiple of its capacity."""
         for row in self.rows["fell"]:
-            rule.breach(f"{row['node']} was pushed over at {row['at']:.3f} s")
+            rule.breach(f"{row['node']} failed under overload at {row['at']:.3f} s")
         by_node = defaultdict(list)
         for attempt in self.attempts:
             by_node[attempt.node].append(attempt)
@@ -278,7 +275,7 @@
                 self._check_cold_start(rule, start, by_node[start["node"]])
 
     def _check_cold_start(self, rule: _RuleCheck, start: Row, attempts: Sequence[Attempt]) -> None:
-        """Checks what came to a node within any window while it was warming up."""
+        """Checks the attempts at a node within any window while it was warming up."""
         window = self.deployment.bounds.overload_window / TICKS_PER_SECOND
         times = [attempt.at for attempt in attempts]
         first = bisect_left(times, start["at"])
@@ -293,12 +290,12 @@
             while times[oldest] <= attempt.at - window:
                 units -= attempts[oldest].row["units"]
                 oldest += 1
-            bearable = self.settings.overload_multiple * _capacity(start, attempt.at) * window
+            bound = self.settings.overload_multiple * _capacity(start, attempt.at) * window
             rule.checked += 1
-            rule.came_near(units / bearable)
-            if units > bearable:
+            rule.record_ratio(units / bound)
+            if units > bound:
                 rule.breach(
-                    f"{attempt.description}: {units:.1f} units in {window} s, {bearable:.1f} push it over"
+                    f"{attempt.description}: {units:.1f} units in {window} s, at most {bound:.1f} are allowed"
                 )
 
     def _next_start(self, start: Row) -> float:
@@ -312,7 +309,7 @@
     # Order kept.
 
     def _check_order(self, rule: _RuleCheck) -> None:
-        """In an ordered request class, one at a time for a key and in the order taken, with cooldowns."""
+        """Checks that an ordered request class runs one operation per key at a time, in the order taken."""
         by_key = defaultdict(list)
         for attempt in self.attempts:
             if self.settings.request_classes[attempt.row["lane"]].ordered and attempt.row["key"]:
@@ -327,10 +324,10 @@
                 if attempt.number < before.number:
                     rule.breach(f"{attempt.description}: taken before {before.description}")
                 if attempt.at < self._key_free_at(before, breaks) - self.max_delay:
-                    rule.breach(f"{attempt.description}: {before.description} is not over")
+                    rule.breach(f"{attempt.description}: {before.description} has not ended")
 
     def _connection_breaks(self) -> Iterator[tuple[float, str]]:
-        """When an edge may have counted what was out at a node as lost, and the node."""
+        """Times at which an edge may have considered the attempts at a node as lost, with the node."""
         for kind in ("killed", "reset", "fell"):
             yield from ((row["at"], row["node"]) for row in self.rows[kind] if "node" in row)
         for row in self.rows["told"]:
@@ -339,7 +336,7 @@
     def _key_free_at(self, attempt: Attempt, breaks: Iterable[tuple[float, str]]) -> float:
         """When the next operation on the same key may be sent.
 
-        What the edge did not hear of in time, or what broke off, counts as lost; then the key cools down.
+        An attempt that timed out or lost its connection counts as lost, after which the key has a cooldown.
         """
         outcome = self._outcome_of(attempt)
         timed_out_at = attempt.at + attempt.row["time_out"] / TICKS_PER_SECOND
@@ -355,7 +352,7 @@
     # Budgets kept.
 
     def _check_retry_budgets(self, rule: _RuleCheck) -> None:
-        """Retries of an edge stay within the budget in any window."""
+        """Checks that the retries of each edge stay within the budget in any window."""
         if self.settings.retry_budget_ratio is None:
             return
         by_edge, taken_at = defaultdict(list), defaultdict(list)
@@ -378,22 +375,22 @@
             oldest = bisect_left(retried_at, retry.at - window + 2 * self.max_delay)
             if taken_at is None:
                 taken = estimate.taken_by(retry.at) - estimate.taken_by(retry.at - window)
-            else:  # reported by the edge itself, those that it never sent included
+            else:  # recorded by the edge, including operations that it never sent
                 taken = bisect_right(taken_at, retry.at) - bisect_left(taken_at, retry.at - window)
             allowed = self.settings.retry_budget_burst + self.settings.retry_budget_ratio * taken
             count = index - oldest + 1
             rule.checked += 1
-            rule.came_near(count / max(1, allowed))
+            rule.record_ratio(count / max(1, allowed))
             if count > allowed:
                 rule.breach(
-                    f"{retry.description}: {count} further executions in {window} s, "
-                    f"{allowed:.1f} for {taken} taken"
+                    f"{retry.description}: {count} retries in {window} s, "
+                    f"{allowed:.1f} are allowed for {taken} operations taken"
                 )
 
     # Limits kept.
 
     def _check_limits(self, rule: _RuleCheck) -> None:
-        """What all edges first send for a folder keeps to its plan's limit."""
+        """Checks the first attempts of all edges for a folder against the limit of its plan."""
         levels: dict[str, tuple[float, float]] = {}  # units left in a folder's bucket, and when
         seen = set()
         for attempt in sorted(self.attempts, key=lambda attempt: attempt.at):
@@ -406,23 +403,23 @@
             level = min(plan.burst, level + plan.limit * (attempt.at - at)) - attempt.row["units"]
             levels[folder] = level, attempt.at
             rule.checked += 1
-            rule.came_near((plan.burst - level) / (plan.burst + plan.slack))
+            rule.record_ratio((plan.burst - level) / (plan.burst + plan.slack))
             if level < -plan.slack - plan.limit * self.max_delay:
                 rule.breach(
-                    f"{attempt.description}: the limit of '{folder}' is passed by {-level:.1f} units, "
+                    f"{attempt.description}: the limit of '{folder}' is exceeded by {-level:.1f} units, "
                     f"{plan.slack} are allowed"
                 )
 
     # Bytes as written.
 
     def _check_bytes(self, rule: _RuleCheck) -> None:
-        """What was read is a version that was whole, and no older than the last one acknowledged."""
+        """Checks that reads return complete versions, no older than the last one acknowledged before."""
         versions = self._written_versions()
         for row in self.rows["got"]:
             rule.checked += 1
             read = versions[row["path"]].get(row["digest"])
             if read is None:
-                rule.breach(f"{row['path']} read at {row['at']:.4f} s: bytes that nobody wrote whole")
+                rule.breach(f"{row['path']} read at {row['at']:.4f} s: bytes of no complete version")
                 continue
             newer = [
                 version
@@ -433,12 +430,12 @@
             ]
             if newer or read.begun_at > row["at"]:
                 rule.breach(
-                    f"{row['path']} read at {row['at']:.4f} s: a version of {read.begun_at:.4f} s, "
-                    f"over {len(newer)} newer ones that were acknowledged before"
+                    f"{row['path']} read at {row['at']:.4f} s: the version of {read.begun_at:.4f} s, "
+                    f"with {len(newer)} newer ones acknowledged before"
                 )
 
     def _written_versions(self) -> dict[str, dict[str, _Version]]:
-        """Versions by path and digest."""
+        """The versions by path and digest."""
         versions: dict[str, dict[str, _Version]] = defaultdict(dict)
         for row in self.rows["writing"]:
             versions[row["path"]][row["digest"]] = _Version(row["begun"])
@@ -450,10 +447,9 @@
 
 
 class _TakenEstimate:
-    """How many operations an edge had taken by a time, from the numbers of those that it sent.
+    """A lower bound of the number of operations that an edge had taken by a time.
 
-    Operations are numbered as they are taken: those taken by a time are at least the highest number sent
-    by then.
+    Operations are numbered in the order taken, so that it is the highest number sent by then.
     """
 
     def __init__(self, attempts: Sequence[Attempt]):
@@ -470,7 +466,7 @@
 
 
 def _not_ready_since(history: Iterable[tuple[float, EndpointState]], at: float) -> float | None:
-    """Since when an edge knew at a time that a node was not ready; None: it was, as far as it knew."""
+    """Since when a node was not ready at a time, by an edge's endpoint lists; None if it was ready."""
     since = None
     for told_at, state in history:
         if told_at > at:
@@ -483,7 +479,7 @@
 
 
 def _capacity(start: Row, at: float) -> float:
-    """Units a second that a node of a cold start can serve at a time."""
+    """Units per second that a node can serve at a time after a cold start."""
     age = (at - start["at"]) / start["warm_within"]
-    part = min(1.0, start["cold_start"] + (1 - start["cold_start"]) * age)
-    return part * start["per_second"]
+    fraction = min(1.0, start["cold_start"] + (1 - start["cold_start"]) * age)
+    return fraction * start["per_second"]
--- a/rushmux/standins/hostile_messages.py
+++ b/rushmux/standins/hostile_messages.py
@@ -1,7 +1,7 @@
-"""Well-formed messages of the nodes' wire with values that no program of the fleet would send.
+"""Random well-formed messages with values that no program of the fleet would send.
 
-Every field of a message is drawn by its type from values at and beyond the edges of what is allowed: not a
-number, infinities, negative and huge numbers, empty and over-long names, names of other members.
+Each field is drawn by its type from values at and beyond the limits of what is allowed: not a number,
+infinities, negative and huge numbers, empty and overlong names, names of other members.
 """
 
 import random
@@ -14,11 +14,11 @@
 
 MAX_REPEATED = 3
 FIELD_CHANCE = 0.8
-"""Of a field to be set."""
-CUT_CHANCE = 0.1
-"""Of a frame to end early, as that of a peer that dies."""
+"""Probability that a field is set."""
+TRUNCATION_CHANCE = 0.1
+"""Probability that a frame is truncated, as by the death of a peer."""
 MAX_MESSAGES = 8
-"""Sent on one connection."""
+"""Messages on one connection."""
 FLOATS = (float("nan"), float("inf"), float("-inf"), -1.0, -0.0, 1e-320, 0.5, 1e308)
 TEXTS = ("", "x", "edge0", "edge7", "node0", "planner x", "x/1", "caribe", "\0", "kind", "é" * 40_000)
 COMMANDS = (
@@ -35,51 +35,51 @@
 )
 VERBS = ("propose", "revert", "withdraw", "forget", "drain", "undrain", "show", "words")
 KINDS = ("ask", "vote", "append", "appended", "install", "order", "members", "begin")
-UNSIGNED = {FieldDescriptor.TYPE_UINT32: 2**32 - 1, FieldDescriptor.TYPE_FIXED32: 2**32 - 1}
+MAX_UNSIGNED = {FieldDescriptor.TYPE_UINT32: 2**32 - 1, FieldDescriptor.TYPE_FIXED32: 2**32 - 1}
 
 
 def random_message(rng: random.Random, bodies: Sequence[str]) -> Message:
-    """A message with one of these bodies, its fields drawn."""
+    """A message with one of `bodies` and random fields."""
     message = messages.Message()
     field = messages.Message.DESCRIPTOR.fields_by_name[rng.choice(bodies)]
-    _fill(rng, getattr(message, field.name))
+    _fill_randomly(rng, getattr(message, field.name))
     getattr(message, field.name).SetInParent()
     return message
 
 
 def random_session(rng: random.Random, peer: str, bodies: Sequence[str]) -> bytes:
-    """What a hostile peer sends on one connection: a greeting under this name, and drawn messages."""
-    sent = bytearray(frame(messages.Message(hello=messages.Hello(version=VERSION, peer=peer, start="1"))))
+    """The bytes that a hostile peer sends on one connection: a hello with this name and random messages."""
+    data = bytearray(frame(messages.Message(hello=messages.Hello(version=VERSION, peer=peer, start="1"))))
     for _ in range(rng.randint(1, MAX_MESSAGES)):
         encoded = frame(random_message(rng, bodies))
-        if rng.random() < CUT_CHANCE:
-            return bytes(sent + encoded[: rng.randrange(len(encoded))])
-        sent += encoded * rng.choice((1, 1, 2))
-    return bytes(sent)
+        if rng.random() < TRUNCATION_CHANCE:
+            return bytes(data + encoded[: rng.randrange(len(encoded))])
+        data += encoded * rng.choice((1, 1, 2))
+    return bytes(data)
 
 
-def _fill(rng: random.Random, message: Message) -> None:
+def _fill_randomly(rng: random.Random, message: Message) -> None:
     for field in message.DESCRIPTOR.fields:
         if rng.random() > FIELD_CHANCE:
             continue
         if field.is_repeated:
             for _ in range(rng.randint(0, MAX_REPEATED)):
-                _add(rng, message, field)
+                _append(rng, message, field)
         elif field.type == FieldDescriptor.TYPE_MESSAGE:
-            _fill(rng, getattr(message, field.name))
+            _fill_randomly(rng, getattr(message, field.name))
         else:
-            setattr(message, field.name, _value(rng, field))
+            setattr(message, field.name, _random_value(rng, field))
 
 
-def _add(rng: random.Random, message: Message, field: FieldDescriptor) -> None:
+def _append(rng: random.Random, message: Message, field: FieldDescriptor) -> None:
     values = getattr(message, field.name)
     if field.type == FieldDescriptor.TYPE_MESSAGE:
-        _fill(rng, values.add())
+        _fill_randomly(rng, values.add())
     else:
-        values.append(_value(rng, field))
+        values.append(_random_value(rng, field))
 
 
-def _value(rng: random.Random, field: FieldDescriptor) -> float | int | str | bytes | bool:
+def _random_value(rng: random.Random, field: FieldDescriptor) -> float | int | str | bytes | bool:
     if field.type == FieldDescriptor.TYPE_DOUBLE:
         return rng.choice(FLOATS)
     if field.type == FieldDescriptor.TYPE_BOOL:
@@ -90,5 +90,5 @@
         return rng.choice(COMMANDS)
     if field.type == FieldDescriptor.TYPE_ENUM:
         return rng.choice(field.enum_type.values).number
-    largest = UNSIGNED.get(field.type, 2**64 - 1)
+    largest = MAX_UNSIGNED.get(field.type, 2**64 - 1)
     return rng.choice((0, 1, 2, 7, 2**31, largest - 1, largest))
--- a/rushmux/standins/policy_fleet.py
+++ b/rushmux/standins/policy_fleet.py
@@ -1,7 +1,8 @@
-"""A whole fleet with several planners on the virtual clock, and drawn faults while its policy is changed.
+"""A fleet with several planners on the virtual clock, under random faults while its policy changes.
 
-The programs are those that run: planners with their logs on a real folder, edges, nodes, clients.  All
-follows from the seed.  `policy_history_checker` checks the recordings, as it does those of real processes.
+It runs the production planners (with their logs in a real folder) and edges, and stand-ins for nodes and
+clients.  Runs are deterministic for a seed.  `policy_history_checker` checks the recordings, as it does those
+of real processes.
 """
 
 import asyncio
@@ -25,53 +26,55 @@
 from rushmux.standins.policy_history_checker import check_history
 
 FIRST_PORT = 7_000
-"""Of the first planner."""
+"""Port of the first planner."""
 FAULT_TIME = 40.0
-"""Seconds of faults, and of changes."""
+"""Seconds with faults and policy changes."""
 QUIET_TIME = 45.0
-"""Seconds at the end: a change may wait for its timeout, and for a lease to expire."""
+"""Seconds without faults at the end: a change may have to wait for its timeout and for a lease to expire."""
 START_TIMEOUT, POLL_INTERVAL = 60.0, 0.05
 MAX_RATES = (0.15, 0.1, 0.15, 0.1, 0.15)
-"""Of each fault, a second."""
-FAULT_CHANCE, REVERT_CHANCE, CUT_CHANCE = 0.7, 0.15, 0.3
+"""Highest rate per second of each fault, in the order of `FaultRates`."""
+FAULT_CHANCE, REVERT_CHANCE, PARTITION_CHANCE = 0.7, 0.15, 0.3
 OBJECT_BYTES = 40_000
 MAX_ERRORS_SHOWN, MAX_ERROR_LENGTH = 3, 300
 LIMITS = (120.0, 60.0, 40.0, 30.0)
 BAD_EVENTS = ("scheduler.fault", "policy.grant_rejected", *FAULT_EVENTS)
-"""Log events that no fault between processes may cause."""
+"""Log events that no process or network fault may cause."""
 PLANNERS = ("plannera", "plannerb", "plannerc")
 
 
-class Faults(NamedTuple):
-    """Each a second, over all parts of its kind; a seed leaves some out."""
+class FaultRates(NamedTuple):
+    """Rate per second of each fault, over all planners or edges."""
 
     planner_kills: float
-    planner_holds: float
+    planner_pauses: float
     edge_kills: float
-    edge_holds: float
-    cuts: float
+    edge_pauses: float
+    partitions: float
 
 
-def draw_faults(rng: random.Random) -> Faults:
-    """Rates of a seed's faults."""
-    return Faults(*(rate * rng.random() ** 2 if rng.random() < FAULT_CHANCE else 0.0 for rate in MAX_RATES))
+def draw_fault_rates(rng: random.Random) -> FaultRates:
+    """Draws the fault rates of a seed; some faults are left out."""
+    return FaultRates(
+        *(rate * rng.random() ** 2 if rng.random() < FAULT_CHANCE else 0.0 for rate in MAX_RATES)
+    )
 
 
 class PolicyFleet(VirtualFleet):
-    """The fleet; logs and kept policies lie in `folder`."""
+    """The fleet; the planners' logs and the edges' stored policies are in `folder`."""
 
     def __init__(self, loop, deployment, seed, folder):
         super().__init__(loop, deployment, seed, unit=0.002)
-        self.folder, self.planners, self.operator_commands, self.stopped = Path(folder), {}, [], {}
-        self.island, self.draw = 0, random.Random(f"policy {seed}")
+        self.folder, self.planners, self.operator_commands, self.paused = Path(folder), {}, [], {}
+        self.partition_number, self.fault_rng = 0, random.Random(f"policy {seed}")
 
     @property
     def places(self):
         """The planners' addresses."""
         return tuple((HOST, FIRST_PORT + index) for index in range(len(PLANNERS)))
 
-    async def start_planner(self, name, found=False):
-        """Starts a planner on its disk; `found`: it begins the log."""
+    async def start_planner(self, name, bootstrap=False):
+        """Starts a planner from its disk, or with a new log (`bootstrap`)."""
         process = self.loop.process(name)
         data = self.folder / f"{name}.db"
         replication = ReplicationSettings(
@@ -79,7 +82,7 @@
             dict(zip(PLANNERS, self.places, strict=True)),
             f"{data}.log",
             random.Random(self.seed()),
-            bootstrap=found,
+            bootstrap=bootstrap,
         )
         program = Planner(
             self.cells,
@@ -95,14 +98,14 @@
         self.planners[name] = Part(process, program, port)
 
     def kill_planner_by_name(self, name):
-        """Kills one of the planners."""
+        """Kills a planner and closes its files, as the end of a process does."""
         part = self.planners.pop(name)
         part.process.kill()
-        part.program.replicated_log.storage.release()  # the kernel lets go of a dead process' lock
+        part.program.replicated_log.storage.release()  # the kernel releases the lock of a dead process
         part.program.store.close()
 
     async def up(self, nodes, edges):
-        """Starts everything, nodes warm, and waits until every edge serves under the policy."""
+        """Starts all programs, with warm nodes, and waits until every edge serves with a lease."""
         self.cells = nodes
         for name in PLANNERS:
             await self.start_planner(name, True)
@@ -116,10 +119,10 @@
             if all(member.is_serving() and not member.is_degraded(self.loop.time()) for member in members):
                 return
             await self.sleep(POLL_INTERVAL)
-        raise TimeoutError("the edges were told no policy")
+        raise TimeoutError("not every edge serves with a lease in time")
 
     async def edge(self, number):
-        """Starts an edge, anew where it ran before."""
+        """Starts or restarts an edge."""
         process = self.loop.process(f"edge{number}")
         program = Edge(
             number,
@@ -147,68 +150,70 @@
         self.edges[number] = Part(process, program, await process.spawn(program.open(HOST, 0)))
         return self.edges[number]
 
-    # What operators and faults do.
+    # Operators and faults.
 
-    async def changes(self, until):
-        """Changes one after another, now and then two at once."""
+    async def propose_changes(self, until):
+        """Sends policy changes and reverts; a new one may follow before the last one has ended."""
         while self.loop.time() < until:
-            await self.sleep(self.draw.uniform(0.5, 9.0))
+            await self.sleep(self.fault_rng.uniform(0.5, 9.0))
             raw = fault_scenario.raw_deployment(fault_scenario.parse(f"edges {len(self.edges)}\n"))
-            limit = self.draw.choice(LIMITS)
+            limit = self.fault_rng.choice(LIMITS)
             raw["plans"]["basico"].update(limit=limit, burst=2 * limit)
-            word = f"change {len(self.operator_commands)}"
-            if self.draw.random() < REVERT_CHANCE:
-                await self.send_policy_command(word, "revert", number=self.draw.randrange(1, 4))
+            label = f"change {len(self.operator_commands)}"
+            if self.fault_rng.random() < REVERT_CHANCE:
+                await self.send_policy_command(label, "revert", number=self.fault_rng.randrange(1, 4))
             else:
-                await self.send_policy_command(word, "propose", text=documents.serialize(raw))
+                await self.send_policy_command(label, "propose", text=documents.serialize(raw))
 
-    async def repeat(self, rate, act, until):
-        """Does something at a rate, by chance, until a time."""
+    async def repeat(self, rate, action, until):
+        """Repeats an action at random intervals, at a mean rate per second, until a time."""
         while rate and self.loop.time() < until:
-            await self.sleep(self.draw.expovariate(rate))
+            await self.sleep(self.fault_rng.expovariate(rate))
             if self.loop.time() < until:
-                await act()
+                await action()
 
-    async def kill_a_planner(self):
-        """Kills a planner, unless it is the last, and starts it again after a while."""
+    async def restart_random_planner(self):
+        """Kills a planner, unless it is the last one that runs, and restarts it after a delay."""
         if len(self.planners) > 1:
-            name = self.draw.choice(sorted(self.planners))
+            name = self.fault_rng.choice(sorted(self.planners))
             self.kill_planner_by_name(name)
-            await self.sleep(0.05 * 200 ** self.draw.random())
+            await self.sleep(0.05 * 200 ** self.fault_rng.random())
             await self.start_planner(name)
 
-    async def hold_a_planner(self):
+    async def pause_random_planner(self):
         """Pauses a planner's process."""
-        self.planners[self.draw.choice(sorted(self.planners))].process.pause(0.5 * 40 ** self.draw.random())
+        self.planners[self.fault_rng.choice(sorted(self.planners))].process.pause(
+            0.5 * 40 ** self.fault_rng.random()
+        )
 
-    async def kill_an_edge(self):
-        """Kills an edge and starts it again after a while."""
-        number = self.draw.choice(sorted(self.edges))
+    async def restart_random_edge(self):
+        """Kills an edge and restarts it after a delay."""
+        number = self.fault_rng.choice(sorted(self.edges))
         if not self.edges[number].process.dead:
             self.kill_edge(number)
-            await self.sleep(0.05 * 400 ** self.draw.random())
+            await self.sleep(0.05 * 400 ** self.fault_rng.random())
             await self.edge(number)
 
-    async def hold_an_edge(self):
+    async def pause_random_edge(self):
         """Pauses an edge's process."""
-        part = self.edges[self.draw.choice(sorted(self.edges))]
-        self.stopped[part.program.name] = True
-        part.process.pause(0.5 * 40 ** self.draw.random())
-
-    async def cut_some(self):
-        """Cuts a few parts off, together on an island of their own."""
-        self.island += 1
-        seconds = 0.5 * 40 ** self.draw.random()
+        part = self.edges[self.fault_rng.choice(sorted(self.edges))]
+        self.paused[part.program.name] = True
+        part.process.pause(0.5 * 40 ** self.fault_rng.random())
+
+    async def partition_some(self):
+        """Separates a few planners and edges, as one group, from all other processes."""
+        self.partition_number += 1
+        seconds = 0.5 * 40 ** self.fault_rng.random()
         for part in [*self.planners.values(), *self.edges.values()]:
-            if self.draw.random() < CUT_CHANCE:
-                part.process.partition(self.island, seconds)
-                # Its clients are on the other side: what it answers them is late, and nobody's fault.
-                self.stopped[getattr(part.program, "name", "")] = True
+            if self.fault_rng.random() < PARTITION_CHANCE:
+                part.process.partition(self.partition_number, seconds)
+                # Its clients are outside the group: its late answers to them are no violation.
+                self.paused[getattr(part.program, "name", "")] = True
 
     async def clients(self, until):
-        """A client an edge that files and reads in a folder with a limit, as fast as it is answered."""
+        """For each edge, a client that writes files to a limited folder, one after another."""
 
-        async def one(number):
+        async def write_files(number):
             count = 0
             while self.loop.time() < until:
                 try:
@@ -224,26 +229,28 @@
                 except (ConnectionClosedError, OSError):
                     await self.sleep(0.5)
 
-        await asyncio.gather(*(one(number) for number in sorted(self.edges)))
+        await asyncio.gather(*(write_files(number) for number in sorted(self.edges)))
 
-    def settled(self):
-        """What is not as it should be after the quiet time; nothing: it is."""
-        found = []
+    def convergence_errors(self):
+        """Describes planners and edges without the newest version or a lease after the quiet time."""
+        errors = []
         versions = {part.program.replicated_log.policy.active.version for part in self.planners.values()}
         if len(versions) != 1 or any(
             part.program.replicated_log.policy.staged for part in self.planners.values()
         ):
-            found.append(f"planners end with {sorted(versions)}, or with a change under way")
+            errors.append(f"planners ended with versions {sorted(versions)}, or with a staged change")
         for part in self.edges.values():
             member = part.program.policy_client.member
             degraded = member.is_degraded(self.loop.time())
             if member.active_version != max(versions) or degraded:
-                found.append(f"{member.name} ends with {member.active_version}, degraded {degraded}")
-        return found
+                errors.append(
+                    f"{member.name} ended with version {member.active_version}, degraded: {degraded}"
+                )
+        return errors
 
 
 class Result(NamedTuple):
-    """Breaches (none: it passed), counts of what happened, and the log."""
+    """Violations (none if the run passed), counts of events, and the log."""
 
     breaches: list[str]
     facts: Counter
@@ -251,30 +258,30 @@
 
 
 def run_seed(seed, folder, edges=3, nodes=2) -> Result:
-    """One seed on a fleet of its own, whose disks lie in `folder`."""
+    """Runs one seed on a new fleet with its disks in `folder`."""
     deployment = build(fault_scenario.raw_deployment(fault_scenario.parse(f"edges {edges}\n")))
 
     async def play(loop):
         fleet = PolicyFleet(loop, deployment, seed, folder)
         await fleet.up(nodes, edges)
-        until, faults = loop.time() + FAULT_TIME, draw_faults(fleet.draw)
-        acts = (
-            fleet.kill_a_planner,
-            fleet.hold_a_planner,
-            fleet.kill_an_edge,
-            fleet.hold_an_edge,
-            fleet.cut_some,
+        until, rates = loop.time() + FAULT_TIME, draw_fault_rates(fleet.fault_rng)
+        actions = (
+            fleet.restart_random_planner,
+            fleet.pause_random_planner,
+            fleet.restart_random_edge,
+            fleet.pause_random_edge,
+            fleet.partition_some,
         )
-        work = [fleet.repeat(rate, act, until) for rate, act in zip(faults, acts, strict=True)]
-        await asyncio.gather(*work, fleet.changes(until), fleet.clients(until + 5))
+        work = [fleet.repeat(rate, action, until) for rate, action in zip(rates, actions, strict=True)]
+        await asyncio.gather(*work, fleet.propose_changes(until), fleet.clients(until + 5))
         await fleet.sleep(QUIET_TIME)
-        settled = fleet.settled()
+        convergence_errors = fleet.convergence_errors()
         breaches, facts = check_history(
-            fleet.all_records(), deployment, (), fleet.operator_commands, fleet.stopped
+            fleet.all_records(), deployment, (), fleet.operator_commands, fleet.paused
         )
         bad = [row for row in fleet.logs if row["event"] in BAD_EVENTS]
         return Result(
-            breaches + settled + [str(row)[:MAX_ERROR_LENGTH] for row in bad[:MAX_ERRORS_SHOWN]],
+            breaches + convergence_errors + [str(row)[:MAX_ERROR_LENGTH] for row in bad[:MAX_ERRORS_SHOWN]],
             facts,
             fleet.logs,
         )
--- a/rushmux/standins/policy_history_checker.py
+++ b/rushmux/standins/policy_history_checker.py
@@ -1,8 +1,8 @@
-"""The checker of recorded histories of policy changes, in whole fleets and on real processes.
+"""Checks recorded histories of policy changes, of simulated fleets and of real processes.
 
-It knows nothing of the code but the rows that the programs record: `decided` (a planner applied a command),
-`leads`, `goes_by` (an edge), `execution` (an attempt at a node), `fenced` (a node), `ask` and `answer` (a
-client), and what operators were told.
+It relies only on the recorded rows: `decided` (a planner applied a command), `leads`, `goes_by` (an edge's
+policy state), `execution` (an attempt at a node), `fenced` (a node rejected an attempt), `ask` and `answer`
+(a client's request and reply), and the answers that operators received.
 """
 
 from collections import Counter, defaultdict
@@ -12,18 +12,18 @@
 from rushmux.settings.deployment import Deployment
 from rushmux.standins.checker import Checker
 
-MAX_DELAY = 0.25  # seconds: longest that a message takes between processes of a busy machine
-MAX_VIOLATIONS = 20  # listed of those on operations
+MAX_DELAY = 0.25  # longest message delay between processes on a busy machine, seconds
+MAX_VIOLATIONS = 20  # number of violations by operations that are listed
 EXCLUDED_RULES = ("limits kept", "no cold node pushed over")
-"""Rules of `Checker` that are checked here by the active policy, or not on these histories."""
+"""Rules of `Checker` that are checked here against the active policy, or do not apply to these histories."""
 OUTCOMES = {"decide": "decided", "end": "ended", "withdraw": "withdrawn"}
-"""How a change ended, by the kind of the command that ended it."""
+"""Outcome of a change by the kind of the command that ended it."""
 
 Row = Mapping[str, Any]
 
 
 class AppliedCommand(NamedTuple):
-    """What a planner recorded of a command: its kind, what came of it, and the active version after it."""
+    """A command as a planner recorded it: its kind, its result and the active version after it."""
 
     kind: str
     answer: str
@@ -31,7 +31,7 @@
 
 
 class ActivePolicy(NamedTuple):
-    """When a version became active, and limit and burst by folder."""
+    """When a version became active, and its limit and burst by folder."""
 
     since: float
     limits: Mapping[str, Sequence[float]]
@@ -47,20 +47,20 @@
     """Checks a whole history.
 
     Args:
-        rows: All that the programs recorded, in order of time.
-        deployment: What the fleet began with.
-        expectations: How the changes of a scenario are to end.
-        operators: What operators asked for, and what they were told.
-        paused: Names of programs that stood still for a while.
+        rows: All recorded rows, in order of time.
+        deployment: The deployment that the fleet started with.
+        expectations: Expected outcomes of the scenario's changes.
+        operators: The operators' commands and the answers to them.
+        paused: Names of programs that were paused at some time.
 
     Returns:
-        The violations, and counts of what happened.
+        The violations, and counts of events.
     """
     facts: Counter = Counter()
     applied, violations = _applied_commands(rows)
     versions = [applied[index].active_version for index in sorted(applied)]
     if versions != sorted(versions):
-        violations.append(f"a number was undone: {versions}")
+        violations.append(f"the active version decreased: {versions}")
     outcomes = _outcomes(applied, facts)
     policies = active_policies(rows)
     violations += check_operations(rows, policies, facts)[:MAX_VIOLATIONS]
@@ -73,7 +73,7 @@
 
 
 def _applied_commands(rows: Iterable[Row]) -> tuple[dict[int, AppliedCommand], list[str]]:
-    """The command at each index, and where planners disagree."""
+    """The command at each log index, and violations where planners disagree on it."""
     applied: dict[int, AppliedCommand] = {}
     violations = []
     for row in rows:
@@ -83,13 +83,13 @@
         known = applied.setdefault(row["index"], command)
         if known != command:
             violations.append(
-                f"entry {row['index']} is {tuple(known)} at one planner, {command.answer} at another"
+                f"planners disagree on entry {row['index']}: {tuple(known)} and {command.answer}"
             )
     return applied, violations
 
 
 def active_policies(rows: Iterable[Row]) -> dict[int, ActivePolicy]:
-    """Each version that became active, when, and its limits."""
+    """The policies that became active, by version."""
     policies: dict[int, ActivePolicy] = {}
     for row in rows:
         if row["kind"] == "decided" and row["force"] and row["force"] not in policies:
@@ -99,7 +99,7 @@
 
 
 def _outcomes(applied: Mapping[int, AppliedCommand], facts: Counter) -> dict[int, str]:
-    """How each change ended, by its version; counts the commands that ended them."""
+    """Outcome of each change by its version; also counts the commands that ended changes."""
     outcomes: dict[int, str] = {}
     for index in sorted(applied):
         command = applied[index]
@@ -111,8 +111,8 @@
 
 
 def _check_rules(rows: Sequence[Row], deployment: Deployment, paused: Collection[str]) -> list[str]:
-    """The rules of `Checker`, but those that are checked here."""
-    # A paused edge answers late, and nobody but who paused it is at fault.
+    """Checks the rules of `Checker` except `EXCLUDED_RULES`."""
+    # A paused edge may answer late.
     checked = [
         row
         for row in rows
@@ -122,7 +122,7 @@
     for verdict in Checker(checked, deployment, MAX_DELAY).verdicts():
         if verdict.rule in EXCLUDED_RULES:
             continue
-        # What a paused program had sent reaches a node when a partition heals, long after it was fenced.
+        # Messages of a program in a partition reach a node when the partition ends, long after fencing.
         found = [text for text in verdict.breaches if not any(f"{name}." in text for name in paused if name)]
         only_summary_left = found == list(verdict.breaches[-1:])
         violations += [
@@ -132,10 +132,10 @@
 
 
 def check_operations(rows: Sequence[Row], policies: Mapping[int, ActivePolicy], facts: Counter) -> list[str]:
-    """No operation ran under a version that was not active, or under two, and no limit was exceeded."""
+    """Checks that each operation ran under one version, which was active, and within its limits."""
     fenced = {(row["op"], row["execution"]) for row in rows if row["kind"] == "fenced"}
     served: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    """By folder, when operations ran and their units."""
+    """By folder, the start and units of each operation."""
     version_of: dict[str, int] = {}
     violations = []
     for row in rows:
@@ -143,9 +143,11 @@
             continue
         operation, version = row["op"], row["policy"]
         if version not in policies or policies[version].since > row["at"] + MAX_DELAY:
-            violations.append(f"{row['at']:.3f} {operation} under {version}, which was not decided")
+            violations.append(
+                f"{row['at']:.3f} s: {operation} ran under version {version}, which was not decided"
+            )
         elif version_of.setdefault(operation, version) != version:
-            violations.append(f"{operation} under {version_of[operation]} and {version}")
+            violations.append(f"{operation} ran under {version_of[operation]} and {version}")
         if (operation, row["execution"]) not in fenced and row["execution"] == 0:
             served[row["volume"]].append((row["at"], row["units"]))
     for folder, sent in served.items():
@@ -159,7 +161,7 @@
     policies: Mapping[int, ActivePolicy],
     facts: Counter,
 ) -> list[str]:
-    """What ran in a folder, against its limit by each version while that was active."""
+    """Checks a folder's operations against the limit of each version while it was active."""
     violations = []
     changes = sorted((policy.since, version) for version, policy in policies.items())
     ends = [since for since, _ in changes[1:]] + [float("inf")]
@@ -177,7 +179,7 @@
 
 
 def _peak_usage(sent: Sequence[tuple[float, float]], limit: float, since: float, until: float) -> float:
-    """The fullest that a bucket was which leaks `limit` units a second."""
+    """Peak level of a leaky bucket that drains `limit` units per second."""
     level, last, peak = 0.0, since, 0.0
     for at, units in sent:
         if since + MAX_DELAY <= at < until:
@@ -193,34 +195,38 @@
     expectations: Iterable[Sequence[str]],
     active_version: int,
 ) -> list[str]:
-    """What operators were told stays true, and the scenario ended as expected."""
+    """Checks that answers to operators were true, and that changes ended as the scenario expects."""
     violations = []
-    answer_to: dict[str, Row] = {}
+    answers: dict[str, Row] = {}
     for row in operators:
-        answer_to[row["word"]] = row
+        answers[row["word"]] = row
         refused = row["said"].startswith("refused") and row["verb"] == "propose"
         if refused and row["number"] in outcomes:
             outcome = outcomes[row["number"]]
-            violations.append(f"{row['word']}: told {row['said']}, and {row['number']} is {outcome}")
+            violations.append(f"{row['word']}: told {row['said']}, but {row['number']} is {outcome}")
     for name, *expected in expectations:
         if name == "force":
             if active_version != int(expected[0]):
-                violations.append(f"in force is {active_version}, not {expected[0]}")
-        elif name not in answer_to:
-            violations.append(f"nobody proposed {name}")
+                violations.append(f"the active version is {active_version}, not {expected[0]}")
+        elif name not in answers:
+            violations.append(f"no operator proposed {name}")
         else:
-            violations += _check_expected(name, answer_to[name], outcomes, expected)
+            violations += _check_expected(name, answers[name], outcomes, expected)
     return violations
 
 
 def _check_expected(
     name: str, answer: Row, outcomes: Mapping[int, str], expected: Sequence[str]
 ) -> list[str]:
-    """How a change ended; `expected`: outcomes split by `|`, and words of the answer."""
+    """Checks the outcome of a change.
+
+    `expected` starts with the allowed outcomes, separated by `|`; a text that the answer has to contain may
+    follow.
+    """
     wanted, *words = expected
     outcome = outcomes.get(answer["number"], answer["said"] or "no answer")
     if answer["said"].startswith("refused"):
         outcome = "refused"
     if outcome in wanted.split("|") and " ".join(words) in answer["said"]:
         return []
-    return [f"{name} is {outcome} ({answer['said']}), not {' '.join(expected)}"]
+    return [f"{name} is {outcome} ({answer['said']}), expected {' '.join(expected)}"]
--- a/rushmux/standins/policy_model_checker.py
+++ b/rushmux/standins/policy_model_checker.py
@@ -1,8 +1,7 @@
-"""A bounded model checker of the policy's rollout: all orders of a few events, breadth first.
+"""A bounded model checker of the policy rollout: explores all orders of a few events, breadth first.
 
-States are compared by what they hold, so that one that was reached before is not explored again.  The bounds
-are on time steps, messages in flight, and how often each fault may happen; `check` says how many states there
-were.
+States with equal keys are explored once.  Time steps, messages in flight and the number of each fault are
+bounded.
 """
 
 from collections import Counter
@@ -14,13 +13,13 @@
 from rushmux.standins.policy_parts import REAL_PARTS, PolicyParts
 
 DEFAULT_BOUNDS = Bounds()
-PREFIX_BOUNDS = Bounds(messages=9, steps=99)  # of the moves that lead to a start
-LIMIT_GOES_DOWN = (90.0, 30.0)  # units a second by the first policy and by the change
+PREFIX_BOUNDS = Bounds(messages=9, steps=99)  # for the moves that lead to the first state
+LIMIT_GOES_DOWN = (90.0, 30.0)  # units per second under the first policy and under the change
 LIMIT_GOES_UP = (30.0, 90.0)
 
 
 def _joint(*names: str, planner: int = 1) -> tuple[str, ...]:
-    """The moves by which members persist the staged policy and report it."""
+    """The moves by which members persist the staged policy and report that they have (are joint)."""
     return tuple(
         move
         for name in names
@@ -43,35 +42,35 @@
     "two are joint, the third serves on": _joint(*MEMBERS[:2]),
     "all are joint, a decision is pending": (*_joint(*MEMBERS), "planner 1 proposes"),
 }
-"""Where a check begins: what has happened before, by the names of moves."""
+"""Moves that lead to the first state of a check, by the name of that state."""
 
 
 class CheckResult(NamedTuple):
-    """What a check found."""
+    """The result of a check."""
 
     states: int
-    """States that were reached."""
+    """Number of states that were reached."""
     depth: int
-    """Up to so many events all orders were explored."""
+    """Number of events up to which all orders were explored."""
     outcomes: Counter[str]
-    """How many states have the change in progress, and how many have each version active after it."""
+    """Number of states with the change in progress, and with each version active after it."""
     violation: str | None
-    """The first violation, by a shortest trace."""
+    """The first violation, found by a shortest trace."""
     trace: tuple[str, ...]
-    """The moves that led to it."""
+    """The moves that led to the violation."""
 
 
 def start_state(parts: PolicyParts, limits: tuple[float, float], moves: Sequence[str]) -> ModelState:
-    """The state that moves lead to.
+    """The state that a sequence of moves leads to.
 
     Raises:
-        ValueError: One of them is not possible where it stands.
+        ValueError: A move is not possible at its place in the sequence.
     """
     state = ModelState(parts, *limits)
     for name in moves:
         possible = {move.name: move for move in state.moves(PREFIX_BOUNDS)}
         if name not in possible:
-            raise ValueError(f"'{name}' cannot be here")
+            raise ValueError(f"move '{name}' is not possible here")
         state = state.copied()
         possible[name].apply(state)
     state.steps = 0
@@ -85,13 +84,13 @@
     limits: tuple[float, float] = LIMIT_GOES_DOWN,
     start: Sequence[str] = (),
 ) -> CheckResult:
-    """Explores all orders of events until as many states were reached as the bounds allow.
+    """Explores all orders of events within the bounds.
 
     Args:
-        bounds: How much may happen.
-        parts: The classes that run.
-        limits: The folder's limit (units a second) by the first policy and by the change.
-        start: Names of the moves that happened before.
+        bounds: Bounds on events and states.
+        parts: The classes under test.
+        limits: The folder's limit (units per second) under the first policy and under the change.
+        start: Names of the moves that lead to the first state.
     """
     first = start_state(parts, limits, start)
     seen = {state_key(first)}
@@ -118,7 +117,7 @@
 
 
 class _Reached(NamedTuple):
-    """A state, and the names of the moves that led to it."""
+    """A state and the names of the moves that led to it."""
 
     state: ModelState
     trace: tuple[str, ...]
--- a/rushmux/standins/policy_model_state.py
+++ b/rushmux/standins/policy_model_state.py
@@ -1,10 +1,9 @@
-"""States of the policy's model checker, on the very parts that run.
+"""States of the policy model checker, which runs the production classes.
 
-Three members, two planners of which the second may take over from the first (terms 1 and 2), one change
-after the first policy, and time in steps of half a lease.  Messages may be lost, repeated and late; a planner
-may be replaced without knowing it; members may crash and restart from their disks.  The replicated log is
-taken as right (`raft_simulation` tests it): a command is committed when the planner of the newest term says
-so.
+There are three members, two planners of which the second may take over from the first (terms 1 and 2), one
+change after the first policy, and time steps of half a lease.  Messages may be lost, duplicated and late; a
+planner may be replaced without noticing; members may crash and restart from their disks.  The replicated log
+is assumed to be correct (`raft_simulation` tests it): the newest planner's command commits in one step.
 """
 
 import json
@@ -17,12 +16,12 @@
 
 MEMBERS = ("edge0", "edge1", "edge2")
 FOLDER = "a"
-STEP = policy.LEASE_DURATION / 1.9  # two steps are longer than any lease, its drift included
+STEP = policy.LEASE_DURATION / 1.9  # two steps exceed any lease, clock drift included
 EPSILON = 1e-6
 
 
 class Bounds(NamedTuple):
-    """How much may happen in a run."""
+    """How often each event may happen."""
 
     steps: int = 4  # of the clock
     crashes: int = 1
@@ -39,7 +38,7 @@
     term: int
 
     def content(self) -> tuple[int, ...]:
-        """What it says, as far as that tells two states apart."""
+        """The fields that distinguish states."""
         body = self.body
         if isinstance(body, policy.LeaseRequest):
             return body.active_version, body.joint_version
@@ -47,19 +46,19 @@
 
 
 class Move(NamedTuple):
-    """Something that may happen next: its name, and what it does to a copy of the state."""
+    """An event that may happen next: its name, and the function that applies it to a copy of the state."""
 
     name: str
     apply: Callable[["ModelState"], None]
 
 
 class ModelState:
-    """Everything that matters at one moment.
+    """The state of all members, planners and messages.
 
     Args:
-        parts: The classes that run.
-        first_limit: The folder's limit (units a second) by the first policy.
-        second_limit: Its limit by the change that is staged.
+        parts: The classes under test.
+        first_limit: The folder's limit (units per second) under the first policy.
+        second_limit: Its limit under the staged change.
     """
 
     def __init__(self, parts: PolicyParts, first_limit: float, second_limit: float):
@@ -72,23 +71,23 @@
         self.index = 1
         self.disks = dict.fromkeys(MEMBERS, (self.machine.active, None))
         self.members = {name: self._new_member(name) for name in MEMBERS}
-        # Planner 1 leads; planner 2 may take over, and 1 may not know.
+        # Planner 1 leads; planner 2 may take over without planner 1 noticing.
         self.coordinators = {1: parts.coordinator(self.machine, -2 * policy.LEASE_DURATION)}
         self.replaced_machines: dict[int, policy.PolicyStateMachine] = {}
-        """The state as a replaced planner last knew it, by its term."""
+        """The replicated state that a replaced planner knows, by its term."""
         self.in_flight: tuple[InFlightMessage, ...] = ()
         self.crashes = 0
         self.takeovers = 0
         self.steps = 0
         self.pending: dict[str, Any] | None = None
-        """A command in the newest planner's log that is not committed yet."""
+        """The uncommitted command in the newest planner's log."""
         self._lease_all()
         second = {"text": "second", "rows": [[FOLDER, second_limit, second_limit]]}
         self.machine.apply({"kind": "propose", "by": "x", **second})
         self.index = 2
 
     def _lease_all(self) -> None:
-        """Each member has just got a lease under the first policy."""
+        """Gives each member a lease under the first policy."""
         coordinator = self.coordinators[1]
         for member in self.members.values():
             coordinator.on_lease_request(self.now, member.lease_request(self.now), 0)
@@ -108,7 +107,7 @@
     # Copies.
 
     def copied(self) -> "ModelState":
-        """A state that holds the same and changes by itself."""
+        """An independent copy."""
         other = copy(self)
         other.machine = _copied_machine(self.machine)
         other.disks = dict(self.disks)
@@ -137,7 +136,7 @@
     def _copied_member(self, name: str, state: "ModelState") -> policy.PolicyMember:
         member = self.members[name]
         other = copy(member)
-        # A request that is not in flight any more, nor its grant, is never answered.
+        # Without a message in flight, a request is never answered.
         other.sent_at = {
             message.body.request_id: member.sent_at[message.body.request_id]
             for message in self.in_flight
@@ -146,10 +145,10 @@
         other.persist = state._disk_writer(name)
         return other
 
-    # What may happen next.
+    # Moves.
 
     def moves(self, bounds: Bounds) -> Iterator[Move]:
-        """All that may happen next within the bounds."""
+        """All moves that are possible within the bounds."""
         yield from self._member_moves(bounds)
         yield from self._message_moves(bounds)
         if self.steps < bounds.steps:
@@ -167,10 +166,10 @@
             yield Move("the pending command is committed", ModelState.commit)
 
     def _member_moves(self, bounds: Bounds) -> Iterator[Move]:
-        room = len(self.in_flight) < bounds.messages
+        has_room = len(self.in_flight) < bounds.messages
         requesting = {message.body.member for message in self.in_flight if message.kind == "request"}
         for name in MEMBERS:
-            if room and name not in requesting:
+            if has_room and name not in requesting:
                 for term in self.coordinators:
                     yield Move(
                         f"{name} requests a lease of planner {term}",
@@ -180,26 +179,26 @@
                 yield Move(f"{name} crashes and restarts", lambda state, name=name: state.crash(name))
 
     def _message_moves(self, bounds: Bounds) -> Iterator[Move]:
-        room = len(self.in_flight) < bounds.messages
+        has_room = len(self.in_flight) < bounds.messages
         for number, message in enumerate(self.in_flight):
             name = f"{message.kind} of {message.body.member}"
             yield Move(
                 f"{name} arrives, planner {message.term}", lambda state, number=number: state.deliver(number)
             )
             yield Move(f"{name} is lost", lambda state, number=number: state.lose(number))
-            if room and message.kind == "grant":
+            if has_room and message.kind == "grant":
                 yield Move(
                     f"{name} arrives, and will again",
                     lambda state, number=number: state.deliver(number, duplicated=True),
                 )
 
     def send_request(self, name: str, term: int) -> None:
-        """A member sends a request to the planner of a term."""
+        """A member requests a lease from the planner of a term."""
         request = self.members[name].lease_request(self.now)
         self.in_flight += (InFlightMessage("request", request, term),)
 
     def crash(self, name: str) -> None:
-        """A member restarts from its disk; what it had requested is never answered."""
+        """A member restarts from its disk; its earlier requests are never answered."""
         self.crashes += 1
         self.members[name] = self._new_member(name)
         self.in_flight = tuple(message for message in self.in_flight if message.body.member != name)
@@ -218,7 +217,7 @@
             return
         coordinator = self.coordinators[message.term]
         coordinator.on_lease_request(self.now, message.body, 0)
-        # A replaced planner hears no majority: no later round of it is ever confirmed.
+        # A majority no longer answers a replaced planner, so that no new round of it is confirmed.
         leads = message.term == self.term
         index = self.index if leads else 2
         for grant in coordinator.grant_leases(self.now, 1 if leads else 0, message.term, index):
@@ -230,7 +229,7 @@
         self.now += STEP
 
     def take_over(self, *, with_pending: bool) -> None:
-        """The next planner leads; it has the pending command in its log and commits it, or it has it not."""
+        """The next planner becomes leader; it commits the pending command if its log contains it."""
         self.takeovers += 1
         if with_pending:
             self.commit()
@@ -250,15 +249,15 @@
         self.index += 1
         self.pending = None
 
-    # The invariant.
+    # Invariant.
 
     def violation(self) -> str | None:
-        """How members exceed the limit that was decided last; None: they do not."""
+        """Describes how members exceed the active limit; None if they do not."""
         active = self.machine.active
         limit, _ = active.limits()[FOLDER]
         used = sum(self._applied_limit(member) for member in self.members.values()) / len(MEMBERS)
         if used > limit + EPSILON:
-            return f"limit {limit:g} by {active.version}, {used:g} may be used"
+            return f"the limit is {limit:g} under version {active.version}, but members may use {used:g}"
         return None
 
     def _applied_limit(self, member: policy.PolicyMember) -> float:
--- a/rushmux/standins/policy_mutants.py
+++ b/rushmux/standins/policy_mutants.py
@@ -1,7 +1,7 @@
-"""Mutants of the policy's rollout: each is one of its three parts with one defect.
+"""Mutants of the policy rollout: each is one of its three classes with one defect.
 
-The checker of `policy_simulation` has to find every one of them; tests and `benchmarks/policy.py` say within
-how many seeds.
+The checker of `policy_simulation` has to find each of them; tests and `benchmarks/policy.py` state within how
+many seeds.
 """
 
 from collections.abc import Iterable
@@ -20,31 +20,31 @@
 )
 from rushmux.fleet.policy.commands import ProposeChange, WithdrawChange
 
-# The member's side.
+# Mutants of the member's side.
 
 
 class JointBeforePersisted(PolicyMember):
-    """Reports that it is joint, and has not persisted it."""
+    """Reports that it is joint without having persisted the staged policy."""
 
     def __init__(self, name, active, staged, validate, persist):
         super().__init__(name, active, staged, validate, lambda active, staged: persist(active, None))
 
 
 class LeaseFromGrant(PolicyMember):
-    """Counts its lease from when the grant arrived."""
+    """Starts its lease when the grant arrives, not when it sent the request."""
 
     def on_grant(self, now: float, grant: LeaseGrant) -> bool:
-        """As the original, but for the start of the lease."""
+        """As the original, except for the start of the lease."""
         if grant.request_id in self.sent_at:
             self.sent_at[grant.request_id] = now
         return super().on_grant(now, grant)
 
 
 class NeverDegraded(PolicyMember):
-    """Goes on as before without a lease."""
+    """Does not reduce its limits without a lease."""
 
     def is_degraded(self, now: float) -> bool:
-        """Never."""
+        """Always false."""
         return False
 
 
@@ -61,36 +61,36 @@
 
 
 class BelievesOldGrants(PolicyMember):
-    """Takes an older position of the log for the newest."""
+    """Accepts grants for older log positions than it has seen."""
 
     def on_grant(self, now: float, grant: LeaseGrant) -> bool:
-        """As the original, whatever was seen before."""
+        """As the original, without the newest position seen."""
         self.last_grant_position = LogPosition(0, 0)
         return super().on_grant(now, grant)
 
 
 class ForgetsStagedAtStart(PolicyMember):
-    """A start drops what was staged."""
+    """Drops the staged policy when it starts."""
 
     def __init__(self, name, active, staged, validate, persist):
         super().__init__(name, active, None, validate, persist)
 
 
 class LeaseWithoutClock(PolicyMember):
-    """Judges its lease by when it sent its last request, not by its clock."""
+    """Checks its lease against the time of its last request instead of its clock."""
 
     def effective_limits(self, now: float) -> dict[str, tuple[float, float]]:
-        """As the original, at an older time."""
+        """As the original, at the time of the last request."""
         if self.lease_expiry is not None:
             now = max(self.sent_at.values(), default=0.0)
         return super().effective_limits(now)
 
 
-# The leader's side.
+# Mutants of the leader's side.
 
 
 class IgnoresPredecessorLeases(RolloutCoordinator):
-    """Does not wait for leases that the leader before it granted."""
+    """Does not wait for the leases that its predecessor granted."""
 
     def __init__(self, state_machine: PolicyStateMachine, now: float):
         super().__init__(state_machine, now)
@@ -98,10 +98,10 @@
 
 
 class ForgetsOwnLeases(RolloutCoordinator):
-    """Takes a member that did not answer for one without a lease."""
+    """Forgets the leases that it granted, so that silent members count as members without a lease."""
 
     def grant_lease(self, now: float, request: LeaseRequest, term: int, index: int) -> LeaseGrant | None:
-        """As the original, and forgets it."""
+        """As the original, and forgets the lease."""
         grant = super().grant_lease(now, request, term, index)
         self.lease_expiry.pop(request.member, None)
         self.predecessor_leases_end = 0.0
@@ -117,10 +117,10 @@
 
 
 class GrantsWhileDeciding(RolloutCoordinator):
-    """Grants leases to members that a change is being decided without."""
+    """Grants leases to members without which a change is being decided."""
 
     def grant_lease(self, now: float, request: LeaseRequest, term: int, index: int) -> LeaseGrant | None:
-        """As the original, as if nothing were being decided."""
+        """As the original without the pending decision."""
         pending_decision, self.pending_decision = self.pending_decision, None
         grant = super().grant_lease(now, request, term, index)
         self.pending_decision = pending_decision
@@ -128,36 +128,36 @@
 
 
 class MajorityIsEnough(RolloutCoordinator):
-    """Decides as soon as most members are joint."""
+    """Decides as soon as a majority is joint."""
 
     def is_joint(self, member: str, version: int) -> bool:
-        """Whether most members are joint."""
+        """Whether a majority is joint."""
         members = self.state_machine.members
         joint = sum(super(MajorityIsEnough, self).is_joint(name, version) for name in members)
         return joint * 2 > len(members)
 
 
 class RejectionCountsAsJoint(RolloutCoordinator):
-    """Takes a rejection for an acceptance."""
+    """Treats a rejection as an acceptance."""
 
     def on_lease_request(self, now: float, request: LeaseRequest, round_: int) -> None:
-        """As the original, with a rejected version joint."""
+        """As the original, with a rejected version reported as joint."""
         if request.rejected_version:
             request = request._replace(joint_version=request.rejected_version, rejected_version=0)
         super().on_lease_request(now, request, round_)
 
 
 class NeverTimesOut(RolloutCoordinator):
-    """Waits for a staged change without end."""
+    """Waits for a staged change without a timeout."""
 
     def next_command(self, now: float) -> dict[str, Any] | None:
-        """As the original, with every change staged just now."""
+        """As the original, as if the change had been staged just now."""
         self.staged_since = {}
         return super().next_command(now)
 
 
 class SilentCountsAsLeased(RolloutCoordinator):
-    """Takes a member that was joint once for one that still has its lease."""
+    """Assumes that a member that was joint still has a lease."""
 
     def next_command(self, now: float) -> dict[str, Any] | None:
         """As the original, with the leases of joint members extended."""
@@ -168,31 +168,31 @@
         return super().next_command(now)
 
 
-# The replicated state.
+# Mutants of the replicated state.
 
 
 class ExcessNotChecked(PolicyStateMachine):
-    """Does not count what degraded members keep."""
+    """Ignores the fraction of its limit that a degraded member may use."""
 
     def degraded_excess(self, policy: Policy) -> str | None:
-        """Never any."""
+        """Always None."""
         return None
 
 
 class OnlyNewestCounts(PolicyStateMachine):
-    """Forgets that an absent member may apply an older version than the active one."""
+    """Forgets that an absent member may apply a version older than the active one."""
 
     def advance_members(self, members: Iterable[str]) -> None:
-        """As the original, but for the older limits."""
+        """As the original, and forgets the older limits."""
         super().advance_members(members)
         self.limits_by_version = {self.active.version: self.active.folder_limits}
 
 
 class WithdrawsDecided(PolicyStateMachine):
-    """Withdraws a change that is decided."""
+    """Withdraws decided changes."""
 
     def withdraw(self, command: WithdrawChange) -> str:
-        """As the original, and the active version too."""
+        """As the original, and reverts the active version."""
         if command.version == self.active.version and self.past_policies:
             self.active = next(reversed(self.past_policies.values()))
             return "withdrawn"
@@ -200,10 +200,10 @@
 
 
 class ReplacesStaged(PolicyStateMachine):
-    """Lets a change take the place of one that is staged."""
+    """Replaces a staged change with a new one."""
 
     def propose(self, command: ProposeChange) -> str:
-        """As the original, as if nothing were staged."""
+        """As the original without the staged change."""
         staged, self.staged = self.staged, None
         try:
             return super().propose(command)
@@ -213,10 +213,10 @@
 
 
 class DecidesAnyStaged(PolicyStateMachine):
-    """Takes an old leader's command on another change for one on this."""
+    """Applies an old leader's command on another change to the staged one."""
 
     def require_staged(self, version: int) -> Policy:
-        """Whatever is staged."""
+        """Returns the staged change, whatever its version."""
         if self.staged is None:
             raise CommandRejectedError("nothing is under way")
         return self.staged
--- a/rushmux/standins/policy_parts.py
+++ b/rushmux/standins/policy_parts.py
@@ -1,4 +1,4 @@
-"""The three parts of the policy's rollout that simulation and model checker run: real ones or mutants."""
+"""The three classes of the policy rollout that the simulation and the model checker run."""
 
 from typing import NamedTuple
 
@@ -6,14 +6,14 @@
 
 
 class PolicyParts(NamedTuple):
-    """Classes of the replicated state, the leader's side and the member's side."""
+    """Classes for the replicated state, the leader's side and the member's side: real ones or mutants."""
 
     state_machine: type[policy.PolicyStateMachine] = policy.PolicyStateMachine
     coordinator: type[policy.RolloutCoordinator] = policy.RolloutCoordinator
     member: type[policy.PolicyMember] = policy.PolicyMember
 
     def with_mutant(self, mutant: type) -> "PolicyParts":
-        """These parts, with a mutant in place of the part that it derives from."""
+        """These parts, with a mutant in place of its base class."""
         return PolicyParts(*(mutant if issubclass(mutant, part) else part for part in self))
 
 
--- a/rushmux/standins/policy_simulation.py
+++ b/rushmux/standins/policy_simulation.py
@@ -1,6 +1,6 @@
-"""Simulation of the policy's rollout: planners with their replicated log, edges, operators and faults.
+"""Simulation of the policy rollout: planners with their replicated log, edges, operators and faults.
 
-All follows from the seed.  Mutants of the three parts may be handed in: the checker has to find them.
+Runs are deterministic for a seed.  Classes may be replaced by mutants, which the checker has to find.
 """
 
 import json
@@ -13,24 +13,25 @@
 from rushmux.standins.raft_simulation import RaftSimulation
 from rushmux.standins.raft_simulation_member import SimulatedMember
 
-ABSENCE = 15.0  # seconds that an edge stays away for a second change
-FLOOR_DELAY = 0.2  # seconds until nodes hear of a fencing floor
-WAKE_DELAY = 0.001  # seconds: a planner that wakes reads its full sockets before its timers run
-ISOLATION_PROBABILITY = 0.5  # that an edge reaches only a planner that is paused
-INTERVENTION_PROBABILITY = 0.1  # that an operator withdraws a change as it would end
-NEW_COMMAND_PROBABILITY = 0.8  # that operators go on to their next command
-FORGET_ABOVE = 0.95  # bounds of the draw that says what operators do next
+ABSENCE = 15.0  # seconds that an edge stays disconnected for a second change
+FLOOR_DELAY = 0.2  # seconds until nodes know a fencing floor
+WAKE_DELAY = 0.001  # seconds; after a pause, a planner reads its sockets before its timers run
+ISOLATION_PROBABILITY = 0.5  # that some edge reaches only the paused planner
+INTERVENTION_PROBABILITY = 0.1  # that an operator withdraws a change that is about to end
+NEW_COMMAND_PROBABILITY = 0.8  # that an operator sends a new command instead of repeating the last one
+# Thresholds of the random number that selects an operator's next command.
+FORGET_ABOVE = 0.95
 WITHDRAW_BELOW = 0.1
 REVERT_BELOW = 0.2
 BASED_BELOW = 0.6
 FOLDERS = ("a", "b")
 LIMITS = (200.0, 100.0, 60.0, 30.0, 12.0, 4.0)
-DURATION = 130.0  # seconds of a seed
-HEAL_AT = 70.0  # seconds at which its faults end
+DURATION = 130.0  # simulated seconds of a run
+HEAL_AT = 70.0  # simulated time at which faults end, seconds
 
 
 class SimulatedPlanner(SimulatedMember):
-    """A planner: a member of the log, the state that the log makes, and the coordinator while it leads."""
+    """A Raft member with the policy state machine, and with a coordinator while it leads."""
 
     def __init__(self, name: str, disk: raft.PersistentState):
         super().__init__(name, disk)
@@ -42,13 +43,13 @@
 
 
 class PolicySimulation(RaftSimulation):
-    """Planners and edges that run together on simulated time.
+    """Planners and edges on simulated time.
 
     Args:
-        seed: All follows from it.
-        planners: How many there are.
-        edges: How many there are.
-        parts: The classes that run.
+        seed: Seed of all random numbers.
+        planners: Number of planners.
+        edges: Number of edges.
+        parts: The classes under test.
         fencing: Whether nodes reject operations of versions below the fencing floor.
     """
 
@@ -73,21 +74,21 @@
         self.schedule_faults(self.edges.faults.planner_pauses, self.pause_planner)
 
     def change_membership(self) -> None:
-        """Planners stay the same here; `raft_simulation` has them come and go."""
+        """Does nothing: membership changes of the log are tested in `raft_simulation`."""
 
     def heal(self) -> None:
-        """All faults end."""
+        """Ends all faults."""
         super().heal()
         for planner in self.members.values():
             planner.paused_until = 0.0
         self.edges.heal()
 
     def check_limits(self) -> None:
-        """Has the checker look at the limits of this instant."""
+        """Checks the limits that edges apply now."""
         self.checker.check_limits(self.now, self.edges.all())
 
     def check_settled(self) -> Self:
-        """Has the checker look at the end of a quiet time."""
+        """Checks the state at the end of the run."""
         machines = {planner.name: planner.state_machine for planner in self.members.values()}
         rejecting = self.edges.rejecting_edge
         self.checker.check_settled(self.now, machines, self.edges.all(), rejecting)
@@ -101,19 +102,19 @@
         super().start_member(name)
 
     def restore(self, member: SimulatedPlanner, snapshot: raft.Snapshot) -> None:
-        """Gives a planner the state of a snapshot."""
+        """Loads a snapshot into a planner."""
         raw = json.loads(snapshot.state) if snapshot.state else {"machine": "", "sessions": []}
         member.state_machine = self.parts.state_machine.from_snapshot(raw["machine"].encode())
         member.sessions = raft.ClientSessions([tuple(row) for row in raw["sessions"]])
         member.applied_index = snapshot.index
 
     def snapshot_state(self, member: SimulatedPlanner) -> bytes:
-        """A planner's state, as `restore` takes it."""
+        """A planner's state in the form that `restore` loads."""
         machine = member.state_machine.to_snapshot().decode()
         return json.dumps({"machine": machine, "sessions": member.sessions.to_rows()}).encode()
 
     def apply(self, member: SimulatedPlanner, index: int, entry: raft.Entry) -> None:
-        """Applies a committed entry; the first planner to apply it tells the checker."""
+        """Applies a committed entry; the checker sees each one when the first planner applies it."""
         self.log_checker.on_applied(self.now, member.name, index, entry)
         member.applied_index = index
         if entry.kind != raft.EntryKind.COMMAND:
@@ -133,7 +134,7 @@
             self.check_limits()
 
     def _on_change_ended(self, command: dict[str, Any]) -> None:
-        # Aimed: edges that were absent for one change are absent for the next one too, and that comes soon.
+        # Targeted fault: edges absent from one change are absent from the next one too, which follows soon.
         partial = command["kind"] == "decide" and len(command["joint"]) < len(self.edges.by_name)
         if partial and not self.healed:
             self.edges.keep_absent(command["joint"], ABSENCE)
@@ -148,7 +149,7 @@
         super().tick(member, node)
 
     def deliver(self, message: raft.Message) -> None:
-        """A message arrives, or waits while its receiver is paused."""
+        """Delivers a message, after the pause of its receiver if there is one."""
         member = self.members.get(message.receiver)
         if member is not None and self.now < member.paused_until:
             self.schedule(member.paused_until - self.now, self.deliver, message)
@@ -156,22 +157,22 @@
         super().deliver(message)
 
     def leaders(self) -> list[SimulatedPlanner]:
-        """Planners that believe to lead and are not paused."""
+        """Planners that are leader in their own view and not paused."""
         return [planner for planner in super().leaders() if self.now >= planner.paused_until]
 
     def pause_planner(self) -> None:
-        """A planner stands still for up to 25 s."""
-        # Aimed: a leader is the one that may promise too much when it wakes.
+        """Pauses a planner for up to 25 s."""
+        # Leaders are preferred: after a pause, they may grant leases that they should not.
         planners = [self.members[name] for name in sorted(self.members)]
         planner = self.random.choice(self.leaders() * 3 + planners)
         planner.paused_until = self.now + 0.5 * 50 ** self.random.random()
-        if self.random.random() < ISOLATION_PROBABILITY:  # and some edge reaches nobody else
+        if self.random.random() < ISOLATION_PROBABILITY:
             edge = self.edges.draw()
             edge.only_planner = planner.name
             edge.only_planner_until = planner.paused_until + 1.0
 
     def on_lease_request(self, planner_name: str, request: policy.LeaseRequest) -> None:
-        """A lease request arrives at a planner."""
+        """Delivers a lease request to a planner, after its pause if there is one."""
         planner = self.members[planner_name]
         if self.now < planner.paused_until:
             delay = planner.paused_until - self.now
@@ -181,7 +182,7 @@
             self.process_ready(planner)
 
     def process_ready(self, member: SimulatedPlanner) -> None:
-        """Does what the log hands out, and the work of a leader."""
+        """Processes the log's output and, at the leader, runs the coordinator."""
         super().process_ready(member)
         node = member.node
         if node is None or node.role != raft.Role.LEADER:
@@ -219,14 +220,14 @@
     # Operators.
 
     def run_client(self) -> None:
-        """Operators: the first policy, changes, withdrawals, reverts; each repeated by chance."""
+        """Sends operators' commands at random intervals until faults have ended and a policy is decided."""
         self.propose_as_operator()
         delay = self.random.uniform(0.5, 8.0) if self.checker.decided else 0.1
         if not self.healed or not self.checker.decided:
             self.schedule(delay, self.run_client)
 
     def propose_as_operator(self) -> None:
-        """Gives a new command, or the last one again, to whoever believes to lead."""
+        """Proposes a new command, or the last one again, at each leader."""
         for planner in self.leaders():
             if self.operator_command is None or self.random.random() < NEW_COMMAND_PROBABILITY:
                 self.last_command += 1
@@ -235,7 +236,7 @@
             self.process_ready(planner)
 
     def _intervene(self, planner: SimulatedPlanner, version: int) -> None:
-        """Aimed: an operator withdraws a change, and another proposes one, just before it would end."""
+        """Targeted: just before a change ends, one operator withdraws it and another proposes a new one."""
         withdraw = {"kind": "withdraw", "number": version}
         propose = {"kind": "propose", **self._draw_policy()}
         for command in (withdraw, propose):
@@ -253,7 +254,8 @@
             members = sorted(self.edges.by_name)
             return {**client, "kind": "found", "members": members, **self._draw_policy()}
         kind = self.random.random()
-        silent = [edge.name for edge in self.edges.all() if edge.silent]  # what operators say has to be true
+        # Operators may only forget members that have really stopped.
+        silent = [edge.name for edge in self.edges.all() if edge.silent]
         if silent and kind > FORGET_ABOVE:
             return {**client, "kind": "forget", "member": self.random.choice(silent)}
         if staged is not None and kind < WITHDRAW_BELOW:
@@ -272,10 +274,10 @@
 
 
 def run_seed(seed: int, *, parts: PolicyParts = REAL_PARTS, fencing: bool = True) -> PolicySimulation:
-    """Runs one seed to its end.
+    """Runs the simulation of one seed.
 
     Raises:
-        InvariantViolationError: The checker found something.
+        InvariantViolationError: The checker found a violation.
     """
     planners = 1 + 2 * (seed % 3 > 0)
     simulation = PolicySimulation(seed, planners, edges=3 + seed % 4, parts=parts, fencing=fencing)
--- a/rushmux/standins/policy_simulation_checker.py
+++ b/rushmux/standins/policy_simulation_checker.py
@@ -1,4 +1,4 @@
-"""The checker of the policy's simulation: knows what was decided and what edges may use, nothing else."""
+"""The checker of the policy simulation, which compares the decided policies with the limits edges apply."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class PolicyChecker:
-    """Checks each commit and, at each instant, the limits of all edges together.
+    """Checks each applied command, and the sum of the limits of all edges.
 
     Args:
         fencing: Whether nodes reject operations of versions below the fencing floor.
@@ -20,11 +20,11 @@
     def __init__(self, *, fencing: bool = True):
         self.fencing = fencing
         self.decided: list[Policy] = []
-        """Policies in the order that they became active."""
+        """Policies in the order in which they became active."""
         self.outcomes: dict[int, str] = {}
-        """Kind of the command that ended each change."""
+        """Kind of the command that ended each change, by version."""
         self.floor = 0
-        """The fencing floor as nodes have heard it."""
+        """The fencing floor that nodes know."""
         self.limit_checks = 0
 
     def on_applied(
@@ -34,14 +34,14 @@
         command: Mapping[str, Any],
         staged_before: Policy | None,
     ) -> None:
-        """Takes in the effect of a command where it was applied first."""
+        """Checks the effect of a command at the first planner that applies it."""
         self._record_active(now, machine.active)
         if staged_before is None or machine.staged is staged_before:
             return
         version = staged_before.version
         if machine.staged is not None and machine.staged.version != version:
             raise InvariantViolationError(
-                f"{now:.3f} {machine.staged.version} took the place of {version}, which had not ended"
+                f"{now:.3f} {machine.staged.version} replaced {version}, which had not ended"
             )
         if "number" in command and command["number"] != version:
             raise InvariantViolationError(
@@ -57,16 +57,16 @@
             return
         newest = self.decided[-1].version if self.decided else 0
         if active.version < newest:
-            raise InvariantViolationError(f"{now:.3f} {active.version} is active after {newest}")
+            raise InvariantViolationError(f"{now:.3f} {active.version} became active after {newest}")
         if active.version > newest:
             self.decided.append(active)
 
     def raise_floor(self, floor: int) -> None:
-        """Nodes hear of a fencing floor."""
+        """Informs the nodes of a fencing floor."""
         self.floor = max(self.floor, floor)
 
     def check_limits(self, now: float, edges: Iterable[SimulatedEdge]) -> None:
-        """What edges may use at this instant, against the limits that were decided last."""
+        """Checks the sum of the edges' limits against the limits decided last."""
         if not self.decided:
             return
         self.limit_checks += 1
@@ -87,12 +87,12 @@
                         f"{edge.name} {edge.member and edge.member.active_version}" for edge in edges
                     )
                     raise InvariantViolationError(
-                        f"{now:.3f} {name} of {folder} is {limit:g} by {self.decided[-1].version}; "
+                        f"{now:.3f} {name} of {folder} is {limit:g} in {self.decided[-1].version}, but "
                         f"members apply {value:g}: {versions}"
                     )
 
     def _serves(self, now: float, edge: SimulatedEdge) -> bool:
-        """Whether an edge may use its limits now; an operation that a node fences tells it."""
+        """Whether an edge's operations are served now; a fenced operation informs the edge of the floor."""
         member = edge.member
         if member is None or now < edge.paused_until or not member.is_serving():
             return False
@@ -112,15 +112,15 @@
         edges: Iterable[SimulatedEdge],
         rejecting_edge: Mapping[str, str],
     ) -> None:
-        """After a quiet time: one version everywhere, nothing staged, and only silent edges degraded.
+        """Checks that nothing is staged after a quiet time and that edges hold leases on the newest version.
 
-        An edge that cannot apply the newest policy (`rejecting_edge`, by text) is excused.
+        Silent edges and the edge that rejects the newest policy (`rejecting_edge`, by text) are excepted.
         """
         if not self.decided:
             raise InvariantViolationError("no policy was ever decided")
         for planner, machine in machines.items():
             if machine.staged is not None:
-                raise InvariantViolationError(f"change {machine.staged.version} hangs at {planner}")
+                raise InvariantViolationError(f"change {machine.staged.version} is still staged at {planner}")
         newest = self.decided[-1]
         for edge in edges:
             if edge.silent or rejecting_edge.get(newest.text) == edge.name:
@@ -128,5 +128,5 @@
             member = edge.member
             if member.active_version != newest.version or member.is_degraded(edge.clock(now)):
                 raise InvariantViolationError(
-                    f"{edge.name} applies {member.active_version}, {newest.version} is active"
+                    f"{edge.name} applies {member.active_version}, but {newest.version} is active"
                 )
--- a/rushmux/standins/raft_mutants.py
+++ b/rushmux/standins/raft_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of a Raft member: each has one defect, which the checker of `raft_simulation` has to find."""
+"""Mutants of `RaftNode`, each with one defect that the checker of `raft_simulation` has to find."""
 
 from collections.abc import Callable, Collection
 
@@ -9,17 +9,17 @@
     """Forgets whom it voted for in a term."""
 
     def on_request_vote(self, now: float, request: raft.RequestVote) -> None:
-        """As the original, on other terms."""
+        """As the original, without the vote cast earlier."""
         if not request.pre_vote:
             self.voted_for = None
         super().on_request_vote(now, request)
 
 
 class VotesForOlderLog(raft.RaftNode):
-    """Takes every candidate's log for newer than its own."""
+    """Considers every candidate's log as newer than its own."""
 
     def on_request_vote(self, now: float, request: raft.RequestVote) -> None:
-        """As the original, on other terms."""
+        """As the original, with a candidate whose log is newer than any."""
         super().on_request_vote(now, request._replace(last_log_index=1 << 30, last_log_term=1 << 30))
 
 
@@ -33,18 +33,18 @@
 
 
 class CommitsWithoutMajority(raft.RaftNode):
-    """Takes one vote less than a majority for one."""
+    """Accepts one vote less than a majority."""
 
     def is_quorum(self, names: Collection[str]) -> bool:
-        """Whether one vote less than a majority is there."""
+        """Whether the votes are at most one short of a majority."""
         return sum(name in names for name in self.members) * 2 >= len(self.members) - 1
 
 
 class KeepsConflict(raft.RaftNode):
-    """Appends a leader's entries behind its own, where it has not got those before them."""
+    """Appends a leader's entries after its own log if the entry before them is missing."""
 
     def on_append_entries(self, now: float, request: raft.AppendEntries) -> None:
-        """As the original, behind its last entry."""
+        """As the original, after its last entry if the previous one is missing."""
         prev_index = request.prev_log_index
         if self.log.term_at(prev_index) is None:
             prev_index = self.log.last_index
@@ -53,10 +53,10 @@
 
 
 class StaysLeader(raft.RaftNode):
-    """Does not step down when it hears of a higher term."""
+    """Stays leader when it sees a higher term."""
 
     def become_follower(self, now: float, term: int, leader: str | None = None) -> None:
-        """Only for a leader that it hears of."""
+        """As the original, unless it leads and the new leader is unknown."""
         if self.role == raft.Role.LEADER and leader is None:
             self.term = max(term, self.term)
         else:
@@ -64,7 +64,7 @@
 
 
 class AppliesAgain(raft.RaftNode):
-    """Applies again what its snapshot holds."""
+    """Applies the last entry of its snapshot again."""
 
     def __init__(
         self, member_id: str, state: raft.PersistentState, now: float, random_below: Callable[[int], int]
--- a/rushmux/standins/raft_simulation.py
+++ b/rushmux/standins/raft_simulation.py
@@ -1,9 +1,8 @@
 """Simulation of a Raft cluster under faults, with a checker of its safety and liveness.
 
-The network loses, repeats, delays and partitions; members crash at any step and restart from what was
-synced.  `raft_simulation_checker` checks safety at each step, and progress once the faults have ended.
-
-All follows from the seed.  A mutant of `RaftNode` may be handed in: the checker has to find what is wrong.
+The network loses, duplicates and delays messages and has partitions; members crash at any step and restart
+from what they had synced.  `raft_simulation_checker` checks safety at each step, and progress once the faults
+have ended.  Runs are deterministic for a seed.
 """
 
 import heapq
@@ -16,24 +15,24 @@
 from rushmux.standins.raft_simulation_faults import CRASHES, NO_FAULTS, CrashPoint, draw_fault_rates
 from rushmux.standins.raft_simulation_member import SimulatedMember
 
-TICK_INTERVAL = 0.1  # seconds between two ticks of a member, on average
-NETWORK_DELAY = (0.0005, 0.03)  # seconds, least and most
+TICK_INTERVAL = 0.1  # mean time between two ticks of a member, seconds
+NETWORK_DELAY = (0.0005, 0.03)  # minimum and maximum, seconds
 SLOW_MESSAGE_FACTOR = 10
 SLOW_MESSAGE_PROBABILITY = 0.1
-CUT_OFF_PROBABILITY = 0.4  # of each member, by a partition
-BOTH_WAYS_PROBABILITY = 0.6  # that a partition cuts both directions
-NEW_COMMAND_PROBABILITY = 0.7  # that a client goes on to its next command
-MAX_EVENTS = 200_000  # of one run: it ends, whatever the members do
+SEPARATION_PROBABILITY = 0.4  # that a partition separates a given member
+BOTH_WAYS_PROBABILITY = 0.6  # that a partition blocks both directions
+NEW_COMMAND_PROBABILITY = 0.7  # that a client sends a new command instead of repeating the last one
+MAX_EVENTS = 200_000  # ends a run regardless of what members do
 MAX_MEMBERS_BEFORE_REMOVAL = 3
-COMPACT_AT_ENTRIES = 40  # in memory, of which half are applied
+COMPACT_AT_ENTRIES = 40  # entries in memory above which the log is compacted, if half of them are applied
 
 
 class RaftSimulation:
-    """Members that run together on simulated time.
+    """Raft members on simulated time.
 
     Args:
-        seed: All follows from it.
-        members: How many there are at the start.
+        seed: Seed of all random numbers.
+        members: Number of members at the start.
         node_class: `RaftNode`, or a mutant of it.
     """
 
@@ -48,7 +47,7 @@
         self.scheduled = 0
         self.events: list[tuple[float, int, Callable, tuple]] = []
         self.blocked_links: dict[tuple[str, str], bool] = {}
-        """Links from a sender to a receiver that carry nothing now."""
+        """Blocked links, each from a sender to a receiver."""
         self.log_checker = RaftChecker()
         self.last_command = 0
         self.next_member_number = members
@@ -64,27 +63,27 @@
     # Time.
 
     def schedule(self, delay: float, action: Callable[..., Any], *arguments: Any) -> None:
-        """Calls an action after some simulated seconds."""
+        """Calls an action after a delay in simulated seconds."""
         self.scheduled += 1
         heapq.heappush(self.events, (self.now + delay, self.scheduled, action, arguments))
 
     def schedule_faults(self, rate: float, action: Callable[[], None]) -> None:
-        """Repeats a fault at a mean rate a second until the simulation heals."""
+        """Repeats a fault at a mean rate per second until the faults end."""
         if not rate:
             return
 
-        def strike() -> None:
+        def inject() -> None:
             if not self.healed:
                 action()
                 self.schedule_faults(rate, action)
 
-        self.schedule(self.random.expovariate(rate), strike)
+        self.schedule(self.random.expovariate(rate), inject)
 
     def run(self, until: float, heal_at: float | None = None) -> Self:
-        """Runs with faults up to `heal_at`, then without: the log must go on then.
+        """Runs with faults up to `heal_at`, then without; the log must then advance.
 
         Raises:
-            InvariantViolationError: The checker found something.
+            InvariantViolationError: The checker found a violation.
         """
         if heal_at is not None:
             self.schedule(heal_at, self.heal)
@@ -98,7 +97,7 @@
         return self
 
     def heal(self) -> None:
-        """All faults end."""
+        """Ends all faults."""
         self.healed = True
         self.blocked_links = {}
         self.faults = NO_FAULTS
@@ -113,7 +112,7 @@
         self.schedule(self.random.uniform(0, TICK_INTERVAL), self.tick, member, member.node)
 
     def restore(self, member: SimulatedMember, snapshot: raft.Snapshot) -> None:
-        """Gives a member the state of a snapshot."""
+        """Loads a snapshot into a member."""
         commands, *sessions = snapshot.state.decode().split("\n")
         member.commands = [command for command in commands.split(" ") if command]
         rows = (row.split(" ") for row in sessions if row)
@@ -122,12 +121,12 @@
         )
 
     def snapshot_state(self, member: SimulatedMember) -> bytes:
-        """A member's state, as `restore` takes it."""
+        """A member's state in the form that `restore` loads."""
         sessions = [" ".join(map(str, row)) for row in member.sessions.to_rows()]
         return "\n".join([" ".join(member.commands), *sessions]).encode()
 
     def tick(self, member: SimulatedMember, node: raft.RaftNode) -> None:
-        """Ticks a member, again and again while it runs."""
+        """Ticks a member regularly while it runs."""
         if member.node is node:
             node.tick(self.now)
             self.process_ready(member)
@@ -135,10 +134,10 @@
             self.schedule(delay, self.tick, member, node)
 
     def process_ready(self, member: SimulatedMember) -> None:
-        """Does what a member hands out until there is nothing, or crashes at one of the steps."""
+        """Processes a member's `Ready` batches until there are none, or crashes it at one of the steps."""
         node = member.node
         while node is not None and member.node is node and (ready := node.ready()) is not None:
-            if not self._carry_out(member, node, ready):
+            if not self._process_batch(member, node, ready):
                 self.crash(member)
                 return
             node.on_persisted(self.now, ready)
@@ -148,8 +147,8 @@
                 if applied > COMPACT_AT_ENTRIES / 2:
                     node.compact(node.last_applied, self.snapshot_state(member))
 
-    def _carry_out(self, member: SimulatedMember, node: raft.RaftNode, ready: raft.Ready) -> bool:
-        """Persists, sends and applies; False where the member is to crash before it is through."""
+    def _process_batch(self, member: SimulatedMember, node: raft.RaftNode, ready: raft.Ready) -> bool:
+        """Persists, sends and applies a batch; False if the member is to crash meanwhile."""
         crash_point = self._draw_crash_point(ready)
         if crash_point == CrashPoint.BEFORE_PERSIST:
             return False
@@ -167,13 +166,13 @@
         return crash_point != CrashPoint.AFTER_APPLY
 
     def _draw_crash_point(self, ready: raft.Ready) -> CrashPoint:
-        # Aimed: what a vote promises must outlive the instant after it.
+        # Targeted: more crashes while a term or vote is persisted, since these must survive them.
         probability = self.faults.crashes / (10 if ready.hard_state else 100)
         crashes = self.random.random() < probability
         return CRASHES[self.random.randrange(len(CRASHES))] if crashes else CrashPoint.NEVER
 
     def apply(self, member: SimulatedMember, index: int, entry: raft.Entry) -> None:
-        """Applies a committed entry, which must be the same at every member."""
+        """Applies a committed entry and checks that it is the same at every member."""
         self.log_checker.on_applied(self.now, member.name, index, entry)
         if entry.kind != raft.EntryKind.COMMAND:
             return
@@ -189,7 +188,7 @@
     # Network.
 
     def send(self, message: raft.Message) -> None:
-        """Puts a message on the network: it arrives never, once or twice, some time later."""
+        """Sends a message, which arrives never, once or twice after a delay."""
         for _ in range(self.draw_copies()):
             delay = self.random.uniform(*NETWORK_DELAY)
             if self.random.random() < SLOW_MESSAGE_PROBABILITY and not self.healed:
@@ -197,13 +196,13 @@
             self.schedule(delay, self.deliver, message)
 
     def draw_copies(self) -> int:
-        """How often a message arrives."""
+        """Draws how often a message arrives."""
         duplicated = self.random.random() < self.faults.duplication
         lost = self.random.random() < self.faults.loss
         return max(0, 1 + duplicated - lost)
 
     def deliver(self, message: raft.Message) -> None:
-        """A message arrives, where its receiver is up and the link is not blocked."""
+        """Delivers a message if its receiver is up and the link is not blocked."""
         member = self.members.get(message.receiver)
         if member is None or member.node is None:
             return
@@ -215,20 +214,20 @@
     # Faults.
 
     def crash(self, member: SimulatedMember) -> None:
-        """A member goes down, and restarts after 2 ms to 2 s."""
+        """Crashes a member, which restarts after 2 ms to 2 s."""
         member.node = None
         self.schedule(0.002 * 1000 ** self.random.random(), self.start_member, member.name)
 
     def crash_random_member(self) -> None:
-        """One member goes down, unless it is down already."""
+        """Crashes a random member, unless it is down already."""
         member = self.random.choice([self.members[name] for name in sorted(self.members)])
         if member.node is not None:
             self.crash(member)
 
     def partition_network(self) -> None:
-        """Cuts some members off from the others, in both directions or one."""
+        """Separates some members from the others, in one direction or both."""
         names = sorted(self.members)
-        group = [name for name in names if self.random.random() < CUT_OFF_PROBABILITY]
+        group = [name for name in names if self.random.random() < SEPARATION_PROBABILITY]
         both_ways = self.random.random() < BOTH_WAYS_PROBABILITY
         for name in group:
             for other in names:
@@ -239,7 +238,7 @@
         self.schedule(self.random.uniform(0.2, 3.0), self.blocked_links.clear)
 
     def change_membership(self) -> None:
-        """Adds a new member, or removes one."""
+        """Adds or removes a member."""
         for member in self.leaders():
             try:
                 if len(member.node.members) <= MAX_MEMBERS_BEFORE_REMOVAL:
@@ -267,7 +266,7 @@
         leader.change_members(self.now, [name for name in leader.members if name != removed])
 
     def leaders(self) -> list[SimulatedMember]:
-        """Members that believe to lead."""
+        """Members that are leader in their own view."""
         return [
             member
             for _, member in sorted(self.members.items())
@@ -277,7 +276,7 @@
     # Clients.
 
     def run_client(self) -> None:
-        """Proposes to whoever believes to lead; proposes again what it does not know to be done."""
+        """Proposes a new command, or the last one again, at each leader."""
         for member in self.leaders():
             if self.random.random() < NEW_COMMAND_PROBABILITY:
                 self.last_command += 1
@@ -287,7 +286,7 @@
         self.schedule(self.random.uniform(0.02, 0.2), self.run_client)
 
     def propose(self, member: SimulatedMember, body: bytes) -> bool:
-        """Proposes a command to a member; whether it took it."""
+        """Proposes a command to a member; returns whether it was accepted."""
         try:
             member.node.propose(self.now, body)
         except raft.ProposalRejectedError:
--- a/rushmux/standins/raft_simulation_member.py
+++ b/rushmux/standins/raft_simulation_member.py
@@ -1,10 +1,10 @@
-"""A member of the Raft simulation: a process that crashes, and a disk that survives it."""
+"""A member of the Raft simulation."""
 
 from rushmux.fleet import raft
 
 
 class SimulatedMember:
-    """A member's process and its disk; `disk` is what survives a crash."""
+    """A member's process and its disk; only `disk` survives a crash."""
 
     def __init__(self, name: str, disk: raft.PersistentState):
         self.name = name
@@ -12,11 +12,11 @@
         self.node: raft.RaftNode | None = None
         """None while it is down."""
         self.commands: list[str] = []
-        """The state machine: every command that was applied, in turn."""
+        """The state machine: the applied commands in order."""
         self.sessions = raft.ClientSessions()
 
     def persist(self, ready: raft.Ready) -> None:
-        """Writes and syncs what was handed out."""
+        """Writes a `Ready` batch to the disk."""
         disk = self.disk
         entries = dict(enumerate(disk.entries, disk.snapshot.index + 1))
         if ready.truncate_from is not None:
--- a/rushmux/standins/report.py
+++ b/rushmux/standins/report.py
@@ -1,4 +1,4 @@
-"""The report of a day: plain text from its recordings."""
+"""The plain-text report of a day, from its recordings."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterator, Mapping, Sequence
@@ -10,11 +10,11 @@
 from rushmux.standins.checker import Checker, Verdict
 
 WINDOW = 10.0
-"""Seconds of the worst window."""
+"""Length of the windows of which the worst is reported, seconds."""
 MIN_WINDOW_REQUESTS = 20
-"""Requests in a window that counts."""
+"""Windows with fewer requests are ignored."""
 DEFAULT_OBJECTIVE = 0.4
-"""Latency objective of requests that have no access, seconds."""
+"""Latency objective of requests that are not in `ACCESSES`, seconds."""
 MAX_BREACHES_SHOWN = 5
 ACCESSES = {
     "Open": ("look", "change"),
@@ -25,7 +25,7 @@
     "OpenDir": ("look",),
     "ReadDir": ("look", "look"),
 }
-"""Which kinds of access a request is made of: its latency objective is the sum of theirs."""
+"""Accesses that a request consists of; its latency objective is the sum of theirs."""
 KINDS = ("asked", "succeeded", "shed", "terminated", "refused")
 IN_TIME = "in time"
 
@@ -33,15 +33,15 @@
 
 
 class ServiceStatistics:
-    """Counts of a day's requests by plan, and the worst window.
+    """Counts a day's requests by plan and by time window.
 
     Attributes:
-        counts: Requests by plan and what became of them.
-        objectives: Latency objective by the name of a request, seconds.
+        counts: Requests by plan and outcome.
+        objectives: Latency objectives by request name, seconds.
 
     Args:
-        records: The day's rows.
-        deployment: What the fleet ran with.
+        records: The rows of the day.
+        deployment: The deployment of the fleet.
     """
 
     def __init__(self, records: Sequence[Row], deployment: Deployment):
@@ -79,25 +79,25 @@
 
     @property
     def worst(self) -> float:
-        """Part answered in time in the worst window."""
+        """Fraction of requests answered in time in the worst window."""
         counted = (count for count in self._windows.values() if count["asked"] >= MIN_WINDOW_REQUESTS)
         return min((count[IN_TIME] / count["asked"] for count in counted), default=0.0)
 
     @staticmethod
     def outcome_of(answer: Row) -> str:
-        """What an answer says: one of KINDS."""
+        """The outcome of a request by its answer: one of `KINDS`."""
         if answer["status"] in (sftp.OK, sftp.EOF):
             return "succeeded"
         word = answer["text"].split(":")[0]
         return word if word in ("shed", "terminated") else "refused"
 
     def share(self, plan: str | None = None) -> float:
-        """Part of the requests of a plan, or of all, that succeeded in time."""
+        """Fraction of the requests of a plan, or of all plans, that succeeded in time."""
         counts = [self.counts[plan]] if plan else list(self.counts.values())
         return sum(count[IN_TIME] for count in counts) / max(1, sum(count["asked"] for count in counts))
 
     def lines(self) -> Iterator[str]:
-        """A table by plan."""
+        """The lines of a table by plan."""
         yield f"{'plan':14}" + "".join(f"{kind:>12}" for kind in KINDS) + f"{'lost':>8}{IN_TIME:>9}"
         for plan, count in sorted(self.counts.items()):
             lost = count["asked"] - sum(count[kind] for kind in KINDS[1:])
@@ -107,7 +107,7 @@
 
 
 class Report(NamedTuple):
-    """The report's lines, whether every rule was kept, and the service."""
+    """The report's lines, whether every rule was kept, and the statistics."""
 
     lines: list[str]
     rules_kept: bool
@@ -123,12 +123,12 @@
 
 
 def evaluate(records: Sequence[Row], deployment: Deployment, max_delay: float) -> Report:
-    """Checks a day and reports it.
+    """Checks the recordings of a day and reports on them.
 
     Args:
-        records: The day's rows, in order of time.
-        deployment: What the fleet ran with.
-        max_delay: Longest time that a message is on its way, seconds.
+        records: The rows of the day, in order of time.
+        deployment: The deployment of the fleet.
+        max_delay: Longest network delay of a message, seconds.
     """
     verdicts = Checker(records, deployment, max_delay).verdicts()
     service = ServiceStatistics(records, deployment)
--- a/tests/fleet/test_policy_model_checker.py
+++ b/tests/fleet/test_policy_model_checker.py
@@ -48,5 +48,5 @@
 
 def test_an_impossible_move_at_the_start_is_an_error():
     parts = REAL_PARTS.with_mutant(policy_mutants.NeverDegraded)
-    with pytest.raises(ValueError, match="cannot be here"):
+    with pytest.raises(ValueError, match="not possible here"):
         start_state(parts, LIMIT_GOES_DOWN, ["planner 9 proposes"])
