--- a/tests/planner/test_hostile_messages.py
+++ b/tests/planner/test_hostile_messages.py
@@ -18,7 +18,7 @@
 from rushmux.settings.deployment import build
 from rushmux.simulation.loop import run
 from rushmux.standins import fault_scenario, policy_fleet
-from rushmux.standins.hostile_messages import drawn_session
+from rushmux.standins.hostile_messages import random_session
 
 PEERS = ("edge7", "edge8", "node7", "people", "planner x/1", "planner b", "", "x" * 5_000)
 SESSIONS = 60
@@ -99,7 +99,7 @@
     async def scenario(fleet):
         name, rng = leader(fleet), random.Random(seed)
         for _ in range(SESSIONS):
-            await send(rng.choice(fleet.places), drawn_session(rng, rng.choice(PEERS), TO_PLANNERS))
+            await send(rng.choice(fleet.places), random_session(rng, rng.choice(PEERS), TO_PLANNERS))
         await fleet.sleep(2)
         await assert_serves(fleet, name)
 
