--- a/rushmux/gateway/connection_pool.py
+++ b/rushmux/gateway/connection_pool.py
@@ -13,9 +13,9 @@
 from rushmux.scheduling.interface import AttemptResult, EndpointState
 
 IDLE_TIMEOUT_FRACTION = 0.9
-"""Fraction of a node's idle timeout within which a connection is reused: the rest covers network delay."""
+"""Of a node's idle timeout: the rest covers network delay."""
 SWEEP_INTERVAL = 1.0
-"""Seconds between two sweeps for connections that have been idle for too long."""
+"""Seconds between sweeps for connections that were idle for too long."""
 NEVER = float("inf")
 """A loop time that is never reached."""
 
@@ -24,9 +24,8 @@
     """All connections to nodes.
 
     Attributes:
-        endpoints: The connections to each node, by node id.
         partial_reply_bytes: Bytes received of all incomplete replies.
-        unsolicited_replies: Replies received without a request in flight, since the start.
+        unsolicited_replies: Replies received without a request in flight.
     """
 
     def __init__(
@@ -70,7 +69,7 @@
         return True
 
     def update_endpoints(self, is_snapshot: bool, endpoints: Sequence[DiscoveredEndpoint]) -> None:
-        """Applies an update of the endpoint list; a snapshot also removes the nodes that are not in it."""
+        """Applies a list update; a snapshot also removes the nodes that are not in it."""
         listed = {endpoint.node: endpoint for endpoint in endpoints}
         if is_snapshot:
             for name in [name for name in self.endpoints if name not in listed]:
@@ -94,11 +93,11 @@
             node: The node's id.
             build_command: Returns the command's arguments, given the milliseconds left until `deadline`.
             deadline: Loop time until which the caller waits for the reply.
-            on_reply: Called once, after this call returned, unless the attempt is dropped.
-            latest_start: Loop time from which on the command must not be written any more.
+            on_reply: Called once, after this call, unless the attempt is dropped.
+            latest_start: Loop time before which the command must be written.
 
         Returns:
-            The attempt, or None if the node is unknown; `on_reply` is still called then.
+            The attempt; None if the node is unknown, though `on_reply` is called.
         """
         endpoint = self.endpoints.get(node)
         if endpoint is None or endpoint.incarnation is None:
@@ -115,7 +114,7 @@
         return attempt
 
     def sweep(self) -> None:
-        """Closes connections that have been idle for too long, and forgets removed nodes."""
+        """Closes connections that were idle for too long, and forgets removed nodes."""
         now = self.loop.time()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
         self.keep_alive.sweep()
--- a/rushmux/gateway/discovery.py
+++ b/rushmux/gateway/discovery.py
@@ -27,11 +27,11 @@
     """Watches discovery's endpoint list and passes on each update.
 
     Attributes:
-        version: Version of the last list received; None to request a snapshot.
-        connection: The connection to the current address, established or being opened.
-        dial_task: The task that opens the connection.
-        former_connections: Connections to former addresses, the oldest first.
-        endpoints: The endpoints last passed on, which stay in force where a row is rejected.
+        version: Of the last list received; None requests a snapshot.
+        connection: To the current address, up or being opened.
+        dial_task: Opens the connection.
+        former_connections: To former addresses, the oldest first.
+        endpoints: As last passed on; they stay in force where a row is rejected.
         is_unavailable: Whether the last request failed.
         first_response: Done once discovery has responded.
     """
@@ -51,7 +51,7 @@
             address: The address of discovery.
             log: The logger.
             on_update: Called as `on_update(is_snapshot, endpoints)` with each response, in order.
-            known_endpoints: The endpoints in force before the first response.
+            known_endpoints: In force before the first response.
         """
         self.loop = loop
         self.address = address
@@ -67,7 +67,7 @@
         self.first_response: asyncio.Future = loop.create_future()
 
     def start(self) -> None:
-        """Connects, unless the watch is connected, connecting or closed."""
+        """Connects, unless connected, connecting or closed."""
         if self.dial_task is None and self.connection is None and not self.is_closed:
             self.dial_task = self.loop.create_task(self._dial())
 
@@ -85,8 +85,8 @@
     def change_address(self, address: SocketAddress) -> None:
         """Connects to another address at once, with the same version, so that no change is missed.
 
-        A response in flight from the former address is still accepted: that connection is kept until the new
-        one has answered.
+        A response in flight from the former address still counts: its connection stays until the new one has
+        answered.
         """
         former, self.connection = self.connection, None
         self.address = address
@@ -110,8 +110,7 @@
         self._remember(listing.is_snapshot, endpoints)
         if listing.is_snapshot or endpoints:
             self.on_update(listing.is_snapshot, endpoints)
-        # A lower version means that discovery restarted its count: it would never see a change as newer than
-        # our version, so request a snapshot.
+        # A lower version: discovery restarted its count and would have no changes newer than our version.
         is_current = listing.is_snapshot or self.version is None or listing.version >= self.version
         self.version = listing.version if is_current else None
         if connection is self.connection:
@@ -126,7 +125,7 @@
         return connection in self.former_connections and (self.version is None or version > self.version)
 
     def _unchanged_for_rejected(self, listing: EndpointListing) -> list[DiscoveredEndpoint]:
-        # A malformed row must not block the valid rows of the same response: its endpoint stays as known.
+        # A malformed row must not block the valid ones beside it: its endpoint stays as known.
         if not listing.rejected:
             return []
         first = listing.rejected[0]
@@ -146,7 +145,7 @@
                 del self.endpoints[endpoint.node]
 
     def on_connection_closed(self, connection: DiscoveryConnection, reason: str, is_orderly=False) -> None:
-        """Reconnects after a connection ended; `is_orderly`: it ended after a complete response."""
+        """Reconnects after a connection ended; `is_orderly`: after a complete response."""
         self.former_connections.pop(connection, None)
         if connection is not self.connection or self.is_closed:
             return
--- a/rushmux/gateway/discovery_connection.py
+++ b/rushmux/gateway/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One connection to discovery, which sends the next watch request as soon as a response is complete."""
+"""One connection to discovery, which requests again after each response."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 PATH = "/catalog/members"
 WATCH_TIMEOUT = 1.0
-"""Seconds that discovery may hold a watch request: short enough to detect silence well within 6 s."""
+"""Seconds that discovery may hold a request: silence is detected well before changes are due (6 s)."""
 FIRST_BYTE_SLACK = 0.5
-"""Seconds after `WATCH_TIMEOUT` at which a request without any response byte is abandoned."""
+"""Seconds after `WATCH_TIMEOUT` until a request without a response byte is abandoned."""
 RESPONSE_TIMEOUT = 2.5
 """Seconds from the request until its response must be complete."""
 MAX_RESPONSE_BYTES = 8 << 20
@@ -25,7 +25,7 @@
 """In a second."""
 STATUS_OK = 200
 REJECTED_STATUSES = range(400, 500)
-"""Statuses that reject the request: discovery does not know the version."""
+"""They reject the request: discovery does not know the version."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
@@ -50,7 +50,7 @@
         self.has_peer_ended = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Sends the first request once connected (`asyncio.Protocol`)."""
+        """Sends the first request (`asyncio.Protocol`)."""
         self.transport = transport
         self._send_request()
 
@@ -76,9 +76,9 @@
         self._receive(data)
 
     def eof_received(self) -> None:
-        """Called when discovery closes its sending side (`asyncio.Protocol`).
+        """Notes that discovery has closed its sending side (`asyncio.Protocol`).
 
-        This completes a response without length or chunks.  A reset does not: it only loses the connection.
+        This completes a response without length or chunks; a reset does not.
         """
         self.has_peer_ended = True
         self._receive(b"")
@@ -95,7 +95,7 @@
     def _handle_event(self, event: h11.Event) -> bool:
         # Returns whether the connection stays open.
         if isinstance(event, h11.Response) and event.status_code != STATUS_OK:
-            # Drops the version: otherwise an unknown one would be requested over and over.
+            # An unknown version would be requested over and over.
             if event.status_code in REJECTED_STATUSES and self.watch.connection is self:
                 self.watch.version = None
             self.close(f"status {event.status_code}")
@@ -113,7 +113,7 @@
         return True
 
     def _on_response(self) -> bool:
-        # Handles a complete response and returns whether the connection stays open.
+        # Returns whether the connection stays open.
         body, self.body = bytes(self.body), bytearray()
         self.timer.cancel()
         try:
@@ -135,7 +135,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called when the connection is lost (`asyncio.Protocol`)."""
+        """Ends after the connection was lost (`asyncio.Protocol`)."""
         self.close("closed")
 
     def close(self, reason: str, is_orderly: bool = False) -> None:
--- a/rushmux/gateway/endpoint_pool.py
+++ b/rushmux/gateway/endpoint_pool.py
@@ -15,7 +15,7 @@
     from rushmux.gateway.connection_pool import ConnectionPool
 
 MAX_WAITING = 64
-"""Attempts that may wait for connections to one node: six times the bound that the design assumes."""
+"""Limit of attempts that wait for one node's connections: six times the design's bound."""
 
 
 class EndpointPool:
@@ -25,7 +25,7 @@
         incarnation: The node's address and start time as last listed, or None if it was removed.
         connections: All established connections.
         idle: Connections without an attempt, the longest idle first.
-        waiting: Attempts that wait for a connection or the end of a cooldown, the longest waiting first.
+        waiting: Attempts that wait for a connection or a cooldown, the longest waiting first.
         dials: The tasks that open connections.
     """
 
@@ -64,7 +64,7 @@
         connection.send(attempt)
 
     def _acquire_idle(self, now: float) -> NodeConnection | None:
-        # The usable connection with the shortest idle time past the cooldown, if that is within the limits.
+        # The usable connection with the shortest idle time past the cooldown and within the limits.
         for connection in reversed(list(self.idle)):
             idle_time = now - connection.idle_since
             if idle_time < REUSE_COOLDOWN or connection.is_claimed or connection.transport.is_closing():
@@ -161,7 +161,7 @@
             self.idle.remove(connection)
 
     def close_idle(self) -> None:
-        """Closes all idle connections, after one broke during an attempt or the node moved or restarted."""
+        """Closes all idle connections, after one broke or the node moved or restarted."""
         for connection in list(self.idle):
             connection.close()
 
@@ -187,5 +187,5 @@
             self.idle[0].close()
 
     def is_unused(self) -> bool:
-        """Returns whether the node was removed and no connection or attempt of it is left."""
+        """Returns whether the node was removed and nothing of it is left."""
         return self.incarnation is None and not (self.connections or self.dials or self.waiting)
--- a/rushmux/gateway/endpoints.py
+++ b/rushmux/gateway/endpoints.py
@@ -35,7 +35,7 @@
     cell: int
     state: EndpointState
     started_at: float
-    """Unix time in seconds; 0 if it was long ago."""
+    """Unix time in seconds; 0: long ago."""
 
 
 class RejectedRow(NamedTuple):
@@ -64,11 +64,7 @@
 
 
 def parse_address(text: str) -> SocketAddress:
-    """Returns host and port of `host:port`.
-
-    Raises:
-        InvalidAddressError: The text is not of this form.
-    """
+    """Parses `host:port`; raises InvalidAddressError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise InvalidAddressError(f"{text!r} is not of the form host:port", text)
@@ -76,7 +72,7 @@
 
 
 def parse_endpoint(row: dict) -> DiscoveredEndpoint:
-    """Returns the endpoint of one row; raises one of MALFORMED_JSON_ERRORS if the row is malformed."""
+    """Parses one row; raises one of MALFORMED_JSON_ERRORS if it is malformed."""
     host, port = parse_address(row["addr"])
     state, node = row["state"], row["id"]
     if state not in STATES or not isinstance(node, str) or not node:
--- a/rushmux/gateway/keep_alive.py
+++ b/rushmux/gateway/keep_alive.py
@@ -1,15 +1,15 @@
 """Estimates how long a connection to a node may be idle and still be reused."""
 
 REUSE_COOLDOWN = 0.02
-"""Seconds after a reply before the connection is reused, so that an unsolicited reply is seen first."""
+"""Seconds from a reply until its connection is reused, so that unsolicited replies show first."""
 BIN_COUNT = 12
-"""Histogram bins: the first ends at an idle time of `REUSE_COOLDOWN`, each further one at twice the last."""
+"""Histogram bins: the first ends at `REUSE_COOLDOWN`, each next one is twice as long."""
 MIN_RESETS = 3
 """Fewer resets than this in a bin count as chance."""
 EXCESS_RESET_RATIO = 0.1
 """A bin's reset ratio may exceed twice the ratio of new connections by this much."""
 DECAY_SWEEPS = 10
-"""All counts are halved after this many sweeps, so that an idle time found too long is tried again later."""
+"""Sweeps between halvings of all counts, so that an idle time found too long is tried again later."""
 UNLIMITED = float("inf")
 
 
@@ -21,10 +21,9 @@
     node work.
 
     Attributes:
-        uses: Uses of connections, by bin of idle time.
-        resets: Those uses that ended in a reset, by bin of idle time.
+        uses: Uses by bin of idle time.
+        resets: Uses that ended in a reset, by bin.
         max_idle_time: Seconds of idle time after which a connection is not reused.
-        sweeps: Calls of `sweep` so far.
     """
 
     def __init__(self):
@@ -47,7 +46,7 @@
             self._update_estimate()
 
     def sweep(self) -> None:
-        """Decays the counts; to be called at regular intervals."""
+        """Decays the counts; called periodically."""
         self.sweeps += 1
         if self.sweeps % DECAY_SWEEPS == 0:
             self.uses = [count / 2 for count in self.uses]
--- a/rushmux/gateway/node_connection.py
+++ b/rushmux/gateway/node_connection.py
@@ -19,7 +19,7 @@
     from rushmux.gateway.endpoint_pool import EndpointPool
 
 MAX_PARTIAL_REPLY_BYTES = 24 << 20
-"""Bytes of all incomplete replies together: enough for sixty of the largest replies seen."""
+"""Bytes of all incomplete replies together: sixty of the largest seen."""
 MILLISECONDS = 1000
 """In a second."""
 
@@ -30,19 +30,18 @@
     host: str
     port: int
     started_at: float
-    """Unix time in seconds; 0 if it was long ago."""
+    """Unix time in seconds; 0: long ago."""
 
 
 class NodeAttempt:
     """An attempt that waits for a connection or is in flight (`scheduling.driver.AttemptHandle`).
 
     Whether it may still begin is checked once, right before its command is written
-    (`EndpointPool._next_waiting`, `NodeConnection.send`).  A dropped attempt is no longer in the queue.
+    (`EndpointPool._next_waiting`, `NodeConnection.send`).  A dropped attempt has left the queue.
 
     Attributes:
         deadline: Loop time until which the caller waits for the reply.
-        latest_start: Loop time from which on it must not begin.
-        written: Whether its command has been passed to the transport.
+        latest_start: Loop time before which it must begin.
     """
 
     __slots__ = ("build_command", "connection", "deadline", "endpoint", "latest_start", "on_reply", "written")
@@ -66,11 +65,11 @@
 
     @property
     def sent(self) -> bool:
-        """Whether its last byte has left this process; if not, an attempt dropped now never runs."""
+        """Whether its last byte has left this process; dropped before, an attempt never runs."""
         return self.written and not (self.connection is not None and self.connection.has_unsent_bytes)
 
     def drop(self) -> None:
-        """Abandons the attempt: it is not sent any more, or the node stops it as its connection closes."""
+        """Abandons the attempt: it is never sent, or the node stops it as its connection closes."""
         self.on_reply = None
         if self.connection is not None:
             self.connection.close()
@@ -98,10 +97,10 @@
     Attributes:
         incarnation: The node's incarnation that it was opened to.
         attempt: The attempt in flight on it.
-        has_unsent_bytes: Whether bytes of a written command have not left this process.
+        has_unsent_bytes: Whether written bytes have not left this process.
         partial_reply_bytes: Bytes received of an incomplete reply.
         idle_since: Loop time since which it has been idle.
-        last_idle_time: Seconds that it had been idle before its last use; 0 if it was new.
+        last_idle_time: Seconds of idle time before its last use; 0 if it was new.
         is_claimed: Whether an attempt waits for the end of its cooldown.
     """
 
@@ -118,17 +117,17 @@
         self.is_claimed = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Called when the connection is established (`asyncio.Protocol`)."""
+        """Starts using the connection (`asyncio.Protocol`)."""
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # `pause_writing` is called as soon as any byte is buffered
+        transport.set_write_buffer_limits(high=0)  # any buffered byte calls `pause_writing`
         self.endpoint.on_connected(self)
 
     def pause_writing(self) -> None:
-        """Called when bytes are left in the write buffer (`asyncio.Protocol`)."""
+        """Notes that the write buffer is not empty (`asyncio.Protocol`)."""
         self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """Called when the write buffer is empty again (`asyncio.Protocol`)."""
+        """Notes that the write buffer is empty (`asyncio.Protocol`)."""
         self.has_unsent_bytes = False
 
     def send(self, attempt: NodeAttempt) -> None:
@@ -143,8 +142,8 @@
     def has_unread_input(self) -> bool:
         """Returns whether the socket has unread input: an unsolicited reply, end of stream or a reset.
 
-        If the process was suspended, the cooldown may be over although the loop has not polled the socket
-        since; a late unsolicited reply would then be taken for the reply to the next request.
+        After the process was suspended, the cooldown may be over although the loop has not polled the socket;
+        a late unsolicited reply would then be taken for the next request's.
         """
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -154,7 +153,7 @@
         """Reads the reply of the attempt in flight (`asyncio.Protocol`)."""
         pool = self.endpoint.pool
         if self.attempt is None:
-            # On a reused connection it would be taken for the reply to the next request.
+            # An unsolicited reply would be taken for the next request's.
             pool.unsolicited_replies += 1
             self.close()
             return
@@ -169,7 +168,7 @@
         if reply is not None:
             self._on_reply(*reply)
         elif pool.partial_reply_bytes > MAX_PARTIAL_REPLY_BYTES:
-            # Many incomplete values, each within its own limit, could together exhaust memory.
+            # Many incomplete values, each within its limit, could exhaust memory.
             self._complete(replies.FAILED_REPLY)
 
     def _on_reply(self, kind: ReplyKind, value: bytes | list | None) -> None:
@@ -179,7 +178,7 @@
         self._complete(reply, not has_unsolicited and replies.is_reusable(reply.result, kind, value))
 
     def _complete(self, reply: AttemptReply, is_reusable: bool = False) -> None:
-        # A reusable connection is closed all the same if its node has moved or restarted meanwhile.
+        # Closes even a reusable connection if its node has moved or restarted meanwhile.
         attempt, self.attempt = self.attempt, None
         pool = self.endpoint.pool
         pool.partial_reply_bytes -= self.partial_reply_bytes
--- a/rushmux/routes/bounds.py
+++ b/rushmux/routes/bounds.py
@@ -21,11 +21,11 @@
     dial_timeout: Ticks
     """The longest that an attempt waits for a connection."""
     drain_grace: Ticks
-    """How long after the notice of a drain attempts may still reach the node."""
+    """How long after a drain's notice attempts may reach the node."""
     restarts: int
-    """Restarts of one gateway in the time in which a limit's burst refills."""
+    """Restarts of one gateway while a limit's burst refills."""
     overload_window: Ticks
-    """The window of the overload rule for nodes in slow start; the scheduler uses a longer one."""
+    """Window of the overload rule for slow start; the scheduler uses a longer one."""
     overload_units: float
     """The least units within the window that overload a node that just started."""
     served_units: float
@@ -34,13 +34,13 @@
     """Operations that a gateway has capacity for."""
     unit_bytes: int
     contended_cell_fraction: float = 1.0
-    """The least fraction of all cells that gateways with work for a node in slow start have work for."""
+    """The least fraction of all cells that gateways with work for a node in slow start serve."""
 
 
 def scheduler_window(window: Ticks, delay: Ticks, dial_timeout: Ticks, interval: Ticks) -> Ticks:
-    """Returns the window over which the scheduler must limit its sends to limit the arrivals in `window`.
+    """Returns the window over which sends must be limited to limit the arrivals in `window`.
 
-    Attempts sent at different times may arrive at the same time, because their delays differ.
+    Attempts sent at different times may arrive together, because their delays differ.
     """
     return window + delay + dial_timeout + interval
 
@@ -53,8 +53,7 @@
 def latest_answer_time(bounds: Bounds, request_class: RequestClass) -> Ticks:
     """Returns the longest time from a client's request until its final answer.
 
-    The sum of the network delay of the request, the time in the scheduler, one late round and the network
-    delay of the answer.
+    Network delay, time in the scheduler, one late round, network delay.
     """
     interval = bounds.settings.round_interval
     return 2 * bounds.network_delay + interval + time_in_scheduler(bounds, request_class)
@@ -69,17 +68,17 @@
 def longest_connect_wait(bounds: Bounds, route: ResolvedRoute) -> Ticks:
     """Returns how long an attempt may wait for a connection and still be sent.
 
-    Its timeout takes effect in a round, up to one interval late.
+    A round notices its timeout up to one interval late.
     """
     interval = bounds.settings.round_interval
     return min(bounds.dial_timeout, longest_attempt(interval, route) + interval)
 
 
 def _units_beyond_shares(bounds: Bounds) -> float:
-    """Returns the units that a node in slow start may receive within a window beyond the gateways' shares.
+    """Returns the units beyond the gateways' shares that a node in slow start may receive in a window.
 
-    These are the largest possible dithers and the credit for answers: those of a window and of the delays by
-    which sends and answers can bunch up, and one answer that was nearly complete.
+    The largest dithers, and the credit for answers: those of a window and of the delays by which sends and
+    answers can bunch up, and one that was nearly complete.
     """
     settings, window = bounds.settings, bounds.overload_window
     bunching = 1 + (settings.slow_start_window - window + bounds.network_delay) / window
@@ -89,7 +88,7 @@
 
 
 def worst_slow_start_units(bounds: Bounds) -> float:
-    """Returns the most units that all gateways together can send a node that just started, in a window."""
+    """Returns the most units that all gateways can send a node that just started, in a window."""
     return bounds.settings.slow_start_units / bounds.contended_cell_fraction + _units_beyond_shares(bounds)
 
 
--- a/rushmux/routes/findings.py
+++ b/rushmux/routes/findings.py
@@ -7,7 +7,7 @@
 from rushmux.scheduling.interface import Ticks
 
 TICKS_PER_MS = 10
-MAX_STEPS = 12  # steps of a timeline that a reader can follow
+MAX_STEPS = 12  # of a timeline that a reader can follow
 
 
 class Rule(StrEnum):
@@ -36,13 +36,12 @@
     rule: Rule
     text: str
     worst: float
-    """The worst value that can occur."""
     bound: float
     """The largest value that the rule allows."""
     suggestion: str
-    """The nearest value of a field that passes, as `field value`, with alternatives behind it."""
+    """The nearest value that passes, as `field value`, and alternatives."""
     guarded: bool
-    """Whether the scheduler keeps the rule all the same, by not doing all that the route states."""
+    """Whether the scheduler keeps the rule anyway, by not doing all that the route states."""
     steps: tuple[Step, ...] = ()
 
     def lines(self) -> Iterator[str]:
@@ -66,11 +65,11 @@
 
 
 def format_ms(ticks: Ticks) -> str:
-    """Returns a duration as text in milliseconds."""
+    """Formats a duration."""
     return f"{ticks / TICKS_PER_MS:g} ms"
 
 
 def format_places(places: list[str]) -> str:
-    """Returns the first places of a list as text."""
+    """Formats the first places of a list."""
     shown = MAX_STEPS // 2
     return ", ".join(places[:shown]) + (" ..." if len(places) > shown else "")
--- a/rushmux/routes/fleet_checks.py
+++ b/rushmux/routes/fleet_checks.py
@@ -17,8 +17,7 @@
 def check_answers_in_time(bounds: Bounds) -> list[Finding]:
     """Checks that final answers arrive before the deadline.
 
-    Classes whose deadline is longer than the end margin are late because of the network delay alone, so they
-    share one finding.
+    Those with deadlines above the end margin are late by the network delay alone and share a finding.
     """
     interval, classes = bounds.settings.round_interval, bounds.settings.request_classes.values()
     late = [each for each in classes if latest_answer_time(bounds, each) > each.deadline]
--- a/rushmux/routes/resolve.py
+++ b/rushmux/routes/resolve.py
@@ -53,7 +53,7 @@
 
 
 def find_row_faults(rows: list[dict], classes: Mapping, plans: Mapping) -> list[tuple[str, str]]:
-    """Returns place and text of each row that names an unknown class or plan or repeats an earlier row."""
+    """Returns (place, text) for rows that name an unknown class or plan or repeat an earlier row."""
     found, seen = [], {}
     for number, row in enumerate(rows):
         for kind, known in (("lane", classes), ("plan", plans)):
@@ -76,7 +76,7 @@
         rows: The file's rows, without faults.
         classes: All request classes by name.
         plans: The names of all plans.
-        max_attempts: The fleet's default, for classes and plans without a row that states it.
+        max_attempts: The fleet's default, where no row states another.
     """
     numbers = {(row.get("lane"), row.get("plan")): number for number, row in enumerate(rows)}
     found = []
@@ -96,5 +96,5 @@
 
 
 def route_policies(routes: list[ResolvedRoute]) -> dict[tuple[str, str], RoutePolicy]:
-    """Returns the policies by names of class and plan, as `SchedulerSettings` takes them."""
+    """Returns the policies by class and plan, for `SchedulerSettings`."""
     return {(route.request_class.name, route.plan): route.policy for route in routes}
--- a/rushmux/routes/route_checks.py
+++ b/rushmux/routes/route_checks.py
@@ -17,7 +17,7 @@
 
 
 def _suggest_fit(route: ResolvedRoute, count: int, interval: Ticks) -> str:
-    """Returns a timeout and a lower number of attempts that fit, as far as there are any."""
+    """Suggests a timeout or a number of attempts that fits."""
     policy, request_class = route.policy, route.request_class
     stop = request_class.deadline - END_MARGIN * interval
     timeout = (stop - (count - 1) * (interval + policy.retry_delay)) // count
@@ -77,7 +77,7 @@
 
 
 def check_hedging(bounds: Bounds, route: ResolvedRoute) -> Finding | None:
-    """Checks that hedged requests are allowed, and that they can be answered in time."""
+    """Checks that hedged requests are allowed and can be answered in time."""
     if route.policy.hedge_after is None:
         return None
     return _check_hedging_allowed(bounds, route) or _check_hedging_in_time(bounds, route)
@@ -137,7 +137,7 @@
 
 
 def check_dedup_window(bounds: Bounds, route: ResolvedRoute) -> Finding | None:
-    """Checks that a retry of a keyed operation reaches its node while its key is known there."""
+    """Checks that a keyed operation's retry reaches its node while the key is known there."""
     request_class, interval = route.request_class, bounds.settings.round_interval
     attempts = min(route.policy.max_attempts, bounds.settings.max_attempts)
     if request_class.idempotency is not Idempotency.KEYED or attempts <= 1:
--- a/rushmux/routes/verifier.py
+++ b/rushmux/routes/verifier.py
@@ -1,9 +1,9 @@
 """Computes the worst cases that a file's routes allow and reports those that could break a rule.
 
-Each check is a closed form over the stated bounds: it compares the longest chain of delays that the bounds
-allow, in whole ticks, with what the rule allows (docs/routes.md derives each).  A file with findings is
-rejected.  A finding is marked `guarded` if the scheduler would keep the rule by itself, so that the route
-could not do all that it states.  The others can be reproduced by a simulated schedule (`lab/model_check`).
+Each check is a closed form over the stated bounds: the longest chain of delays that they allow, in whole
+ticks, against what the rule allows (docs/routes.md derives each).  A `guarded` finding is of a rule that the
+scheduler would keep by itself, so that the route could not do all that it states.  A simulated schedule can
+reproduce the others (`lab/model_check`).
 """
 
 from rushmux.routes import fleet_checks, route_checks
@@ -20,7 +20,7 @@
 
 
 def verify(bounds: Bounds, routes: list[ResolvedRoute]) -> list[Finding]:
-    """Returns all findings by check; if there are none, no schedule within the bounds breaks a rule."""
+    """Returns all findings; if there are none, no schedule within the bounds breaks a rule."""
     found = [
         *fleet_checks.check_answers_in_time(bounds),
         *_worst_by_place(bounds, routes),
--- a/tests/gateway/test_races.py
+++ b/tests/gateway/test_races.py
@@ -180,7 +180,7 @@
     "change", [{"state": EndpointState.REMOVED}, {"started_at": 99.0}, {"state": EndpointState.DRAINING}]
 )
 def test_a_connection_being_opened_when_its_node_restarts_drains_or_is_removed_carries_no_attempt(change):
-    """The address stays the same, but another incarnation answers there or the node takes no new attempts."""
+    """The address stays: another incarnation answers there, or the node takes no new attempts."""
 
     async def scenario():
         loop, node = asyncio.get_running_loop(), FakeNode()
@@ -245,10 +245,9 @@
 
 
 def run_two_attempts(port, node_event):
-    """Returns the outcomes of two attempts, the second started by the callback of the first one's reply.
+    """Returns the outcomes of two attempts, the second started by the first one's reply callback.
 
-    The callback waits for `node_event` and then blocks the loop past the cooldown, so that the loop has not
-    polled any socket in between.
+    The callback waits for `node_event` and blocks the loop past the cooldown, so that no socket is polled.
     """
 
     async def scenario():
--- a/tests/routes/test_verifier.py
+++ b/tests/routes/test_verifier.py
@@ -36,7 +36,7 @@
     assert all(route.hedge_after is None for route in deployment.build(raw).settings.route_policies.values())
 
 
-# A field, its last value that passes and the next value by one tick or unit, which breaks the rule.
+# A field, its last value that passes, and the next one, which breaks the rule.
 LIMIT_VALUES = [
     (("bounds", "way_ms"), 2.5, 2.6, Rule.NO_LOSS),
     (("fleet", "drain_grace_ms"), 307, 306.9, Rule.DRAINING),
