--- a/benchmarks/planner_kills.py
+++ b/benchmarks/planner_kills.py
@@ -31,7 +31,7 @@
 WAY = 0.005  # seconds: longest simulated way of a message
 
 
-def played(seed):
+def run_seed(seed):
     """One run: requests, those that succeeded, kills, and the breaches."""
     raw = copy.deepcopy(EXAMPLE)
     raw["fleet"]["shares"] = bool(seed % 2)
@@ -70,7 +70,7 @@
     answers = good = kills = 0
     broken = []
     with worker_pool(wanted.jobs) as pool:
-        for seed, (some, fine, killed, breaches) in zip(seeds, pool.map(played, seeds), strict=True):
+        for seed, (some, fine, killed, breaches) in zip(seeds, pool.map(run_seed, seeds), strict=True):
             answers, good, kills = answers + some, good + fine, kills + killed
             broken += [f"seed {seed}: {text}" for text in breaches[:3]]
     print(
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_planner_may_be_killed_at_any_moment_under_faults(seed):
-    answers, succeeded, _, breaches = planner_kills.played(seed)
+    answers, succeeded, _, breaches = planner_kills.run_seed(seed)
     assert not breaches
     assert succeeded > 0.8 * answers
 
