--- a/rushmux/cli/__init__.py
+++ b/rushmux/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: the only place that reads arguments, the wall clock and the machine's entropy."""
+"""The command line: the only code that reads arguments, the wall clock and the system's entropy."""
--- a/rushmux/cli/connect.py
+++ b/rushmux/cli/connect.py
@@ -1,4 +1,4 @@
-"""`rushmux connect`: standard input and output joined to an edge."""
+"""`rushmux connect`: relays standard input and output to an edge."""
 
 import asyncio
 import contextlib
@@ -14,12 +14,12 @@
 @click.command("connect")
 @click.argument("address", metavar="PLACE", type=AddressParameter())
 def connect(address: Address) -> None:
-    """Joins standard input and output to an edge, for clients that speak through a command."""
-    asyncio.run(_join(address))
+    """Relays standard input and output to an edge, for clients that connect through a command."""
+    asyncio.run(_relay(address))
 
 
-async def _join(address: Address) -> None:
-    """Copies both ways until the edge closes."""
+async def _relay(address: Address) -> None:
+    """Copies data in both directions until the edge closes the connection."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError as error:
--- a/rushmux/cli/crash_rounds.py
+++ b/rushmux/cli/crash_rounds.py
@@ -1,4 +1,4 @@
-"""`rushmux kills`: kills an edge at random moments, thousands of times, and checks each."""
+"""`rushmux kills`: kills an edge at random moments, over many rounds, and checks each round."""
 
 import asyncio
 import json
@@ -20,38 +20,38 @@
 
 FOLDERS = ("heredia", "limon", "estrella", "frutas", "golfo")
 SIMULATED_UNIT_TIME, REAL_UNIT_TIME = 0.004, 0.002
-"""Seconds of a core for a unit of work at a node."""
+"""Core seconds for one unit of work on a node."""
 NODES, EDGES = 4, 2
 ENDPOINT_LAG = 0.3
-"""Seconds until a change of the list of nodes is told."""
+"""Seconds until a change of the endpoint list is announced."""
 KILL_WINDOW = 1.2
-"""Seconds within which the kill comes."""
+"""The edge is killed within this many seconds."""
 FAULTS = (None, None, "silent", "lost", "errors", "stuck", "slow", "disk", "resets")
 FAULT_SIZES = {"lost": 0.4, "errors": 0.6, "slow": 6.0}
 MIN_FAULT_TIME, MAX_FAULT_TIME = 0.3, 2.0
-LOG_PERIOD = 3
-"""One simulated round in so many runs without a log of the write-back buffer."""
+UNLOGGED_ROUND_INTERVAL = 3
+"""One simulated round in this many runs without a write-back log."""
 MAX_REAL_BATCH, MAX_SIMULATED_BATCH = 60, 50
-"""Rounds of one task of the process pool; real ones share a fleet."""
+"""Rounds of one task of the process pool; real rounds of a task share a fleet."""
 MAX_ERRORS_SHOWN = 3
 
 
 class Round(NamedTuple):
-    """A finished round."""
+    """Result of a round."""
 
     seed: int
     errors: Sequence[str]
 
 
 def run(count: int, first_seed: int, real: bool, jobs: int, file: str) -> int:
-    """Runs all rounds over several processes and prints what failed; the number of failed rounds.
+    """Runs all rounds in a process pool, prints their errors and returns the number of failed rounds.
 
     Args:
         count: Number of rounds.
-        first_seed: Seed of the first round; each next has the next.
-        real: Whether edges and nodes are real processes rather than on a simulated clock.
-        jobs: Number of processes that run rounds at the same time.
-        file: The deployment file.
+        first_seed: Seed of the first round; it increases by one per round.
+        real: Whether edges and nodes are processes rather than simulated.
+        jobs: Number of processes in the pool.
+        file: Path of the deployment file.
     """
     raw, seeds = _deployment_with_buffer(file), range(first_seed, first_seed + count)
     batch_size = min(MAX_REAL_BATCH if real else MAX_SIMULATED_BATCH, -(-count // jobs))
@@ -73,7 +73,7 @@
 
 
 def _deployment_with_buffer(file: str) -> dict:
-    """The deployment file's content with a write-back buffer and at least two edges."""
+    """Returns the file's content with a write-back buffer and at least two edges."""
     load_deployment(file)
     raw = json.loads(Path(file).read_text())
     raw.setdefault("buffer", {})
@@ -82,7 +82,7 @@
 
 
 async def _inject_fault(fleet: FleetOperations, rng: random.Random) -> None:
-    """Starts a drawn fault at a drawn node for a while, some time in the round, or none."""
+    """Injects a random fault into a random node at a random time of the round, or none."""
     await asyncio.sleep(rng.uniform(0, KILL_WINDOW))
     kind = rng.choice(FAULTS)
     if kind is None:
@@ -94,35 +94,35 @@
 
 
 def _run_simulated_batch(raw: dict, seeds: Sequence[int]) -> list[Round]:
-    """Rounds on a simulated clock, each with a fleet of its own."""
+    """Runs rounds on a simulated clock, each with its own fleet."""
     return [Round(seed, _run_simulated_round(raw, seed)) for seed in seeds]
 
 
 def _run_simulated_round(raw: dict, seed: int) -> Sequence[str]:
-    async def story(fleet: FleetOperations) -> Sequence[str]:
+    async def scenario(fleet: FleetOperations) -> Sequence[str]:
         rng = random.Random(seed)
         fault = asyncio.ensure_future(_inject_fault(fleet, rng))
         errors, _ = await kills.run_round(fleet, FOLDERS[seed % len(FOLDERS)], rng, 0, KILL_WINDOW)
-        del fault  # it ends with the fleet
+        del fault  # the task ends with the fleet
         return errors
 
     try:
         _, errors = fleets.play(
             build(raw),
             seed,
-            story,
+            scenario,
             nodes=NODES,
             edges=EDGES,
             unit=SIMULATED_UNIT_TIME,
-            logs=seed % LOG_PERIOD > 0,
+            logs=seed % UNLOGGED_ROUND_INTERVAL > 0,
         )
-    except Exception as error:  # whatever a round raises is its result: the others go on
+    except Exception as error:  # the round's result; other rounds go on
         return [f"{type(error).__name__}: {error}"]
     return errors
 
 
 def _run_real_batch(raw: dict, seeds: Sequence[int]) -> list[Round]:
-    """Rounds on one fleet of real processes, one after the other."""
+    """Runs rounds one after the other on one fleet of processes."""
 
     async def run_rounds() -> list[Round]:
         rounds, written = [], 0
--- a/rushmux/cli/demo.py
+++ b/rushmux/cli/demo.py
@@ -1,4 +1,4 @@
-"""A scripted bad day, judged from its recordings (`rushmux demo`)."""
+"""`rushmux demo`: plays a scripted day of faults and checks its recordings."""
 
 import asyncio
 import tempfile
@@ -12,23 +12,23 @@
 from rushmux.scheduling.scheduler import Scheduler
 from rushmux.settings.deployment import Deployment
 from rushmux.standins import fleet as fleets
-from rushmux.standins import scenario as days
+from rushmux.standins import scenario as scenarios
 from rushmux.standins import script
 from rushmux.standins.passthrough import PassThrough
 from rushmux.standins.processes import ProcessFleet, ProcessStartError
 from rushmux.standins.report import evaluate
 
 UNIT_TIME = 0.015
-"""Seconds of a core for a unit of work at a node."""
+"""Core seconds for one unit of work on a node."""
 MAX_SIMULATED_DELAY = 0.005
-"""Seconds that a message is on its way at most, on the simulated network."""
+"""Maximum delay of a message in the simulated network, in seconds."""
 MAX_REAL_DELAY = 0.25
 """The same between real processes on a busy machine."""
 SCHEDULER_TYPES = {"module": Scheduler, "passthrough": PassThrough}
 
 
 class Demo(NamedTuple):
-    """A day and the fleet that it is played on."""
+    """A scripted day and the fleet to play it on."""
 
     day: str
     edges: int
@@ -40,18 +40,18 @@
 
 
 class Recording(NamedTuple):
-    """What the parts of a fleet recorded of a day."""
+    """What the fleet's processes recorded of a day."""
 
     rows: Sequence[dict]
     deployment: Deployment
 
 
 def run(demo: Demo, with_passthrough: bool, data: str | None) -> bool:
-    """Plays a day and prints its report; whether the scheduler kept every rule.
+    """Plays a day, prints its report and returns whether the scheduler kept every rule.
 
     Args:
-        demo: What is played.
-        with_passthrough: Whether the same day is also played with a scheduler that passes all on at once.
+        demo: The day and the fleet.
+        with_passthrough: Whether to play the day again with `PassThrough`.
         data: Folder for data, logs and recordings; None: a temporary one.
     """
     scheduler_kept_rules = True
@@ -65,7 +65,7 @@
 
 
 def _run_once(demo: Demo, decisions: str, folder: Path) -> bool:
-    """Plays the day with one scheduler and prints its report; whether every rule was kept."""
+    """Plays the day with one scheduler, prints its report and returns whether every rule was kept."""
     try:
         recording = _record_day(demo, decisions, folder)
     except (script.ScriptError, ProcessStartError) as error:
@@ -89,15 +89,15 @@
 
 def _record_simulated_day(demo: Demo, decisions: str, deployment: Deployment) -> Recording:
     """Plays the day in this process on a simulated clock."""
-    chosen, load = script.load(demo.day), days.Load(part=demo.load)
+    day_script, load = script.load(demo.day), scenarios.Load(part=demo.load)
 
-    async def story(fleet: fleets.VirtualFleet) -> None:
-        await days.play(fleet, chosen, load, demo.seed)
+    async def scenario(fleet: fleets.VirtualFleet) -> None:
+        await scenarios.play(fleet, day_script, load, demo.seed)
 
     fleet, _ = fleets.play(
         deployment,
         demo.seed,
-        story,
+        scenario,
         nodes=demo.nodes,
         edges=demo.edges,
         unit=UNIT_TIME,
@@ -109,8 +109,8 @@
 def _record_real_day(
     demo: Demo, decisions: str, folder: Path, path: Path, deployment: Deployment
 ) -> Recording:
-    """Plays the day on processes of their own."""
-    chosen, load = script.load(demo.day), days.Load(part=demo.load)
+    """Plays the day on separate processes."""
+    day_script, load = script.load(demo.day), scenarios.Load(part=demo.load)
 
     async def play() -> Sequence[dict]:
         fleet = ProcessFleet(
@@ -118,7 +118,7 @@
         )
         try:
             await fleet.up(demo.nodes, demo.edges)
-            await days.play(fleet, chosen, load, demo.seed)
+            await scenarios.play(fleet, day_script, load, demo.seed)
         finally:
             await fleet.down()
         return fleet.all_records()
--- a/rushmux/cli/deployment_files.py
+++ b/rushmux/cli/deployment_files.py
@@ -12,12 +12,15 @@
 
 @click.command("check")
 @click.argument("file", type=click.Path())
-@click.option("--facts", is_flag=True, help="the worst that the accepted file allows")
+@click.option("--facts", is_flag=True, help="show the worst cases that the accepted file allows")
 @click.option(
-    "--routes", "show_routes", is_flag=True, help="the route of each lane and plan, and where it stands"
+    "--routes",
+    "show_routes",
+    is_flag=True,
+    help="show the route of each lane and plan, and its place in the file",
 )
 def check(file: str, *, facts: bool, show_routes: bool) -> None:
-    """Reads a deployment file, proves its routes and tells every refusal, starting nothing."""
+    """Validates a deployment file, verifies its routes and prints every refusal; starts nothing."""
     from rushmux.routes import explain, verifier
 
     deployment = load_deployment(file, explain=True)
@@ -37,23 +40,28 @@
 @click.command("move")
 @click.argument("file", type=click.Path())
 @click.option(
-    "--to", "target", type=click.Path(dir_okay=False), help="the new file; without it nothing is written"
+    "--to",
+    "target",
+    type=click.Path(dir_okay=False),
+    help="path of the new file; if omitted, nothing is written",
 )
-@click.option("--dry-run", is_flag=True, help="tell what would be written and what would be left, and stop")
-@click.option("--force", is_flag=True, help="write over a file that is there")
+@click.option("--dry-run", is_flag=True, help="show what could not be carried over and write nothing")
+@click.option("--force", is_flag=True, help="overwrite an existing file")
 @click.option(
     "--load",
     type=click.Choice(["none", "probe"]),
     default="probe",
     show_default=True,
-    help="whether the new nodes tell their load to edges that ask",
+    help="whether the new nodes report their load to edges on request",
 )
-@click.option("--meter-ms", type=float, help="period of the fleet's meter; 0: none")
-@click.option("--in-order", multiple=True, help="a lane to keep in order by key; may be given again")
-@click.option("--order-rest-ms", type=float, help="rest of a key after what may still run")
-@click.option("--gateways", type=int, help="edges of the new fleet")
-@click.option("--no-reserves", is_flag=True, help="plans share by weight alone")
-@click.option("--no-copies", is_flag=True, help="the new nodes take no second copies")
+@click.option("--meter-ms", type=float, help="period of the fleet's usage meter; 0: none")
+@click.option("--in-order", multiple=True, help="a lane to order by key; may be repeated")
+@click.option(
+    "--order-rest-ms", type=float, help="how long a key rests after an operation that may still run"
+)
+@click.option("--gateways", type=int, help="number of edges in the new fleet")
+@click.option("--no-reserves", is_flag=True, help="plans share capacity by weight only")
+@click.option("--no-copies", is_flag=True, help="the new nodes take no hedged requests")
 def move(
     file: str,
     *,
@@ -68,7 +76,7 @@
     no_reserves: bool,
     no_copies: bool,
 ) -> None:
-    """Makes the new shape's file from one of the old, and lists what it could not carry over."""
+    """Converts a deployment file to the new kind and lists what could not be carried over."""
     from rushmux.settings import deployment as deployments
     from rushmux.settings import migration
 
@@ -90,12 +98,12 @@
 
 
 def _write(path: Path, raw: dict, force: bool) -> str:
-    """Writes a deployment file atomically; what was done, as the command prints it."""
+    """Writes a deployment file atomically and returns the status that the command prints."""
     data = (json.dumps(raw, indent=2, ensure_ascii=False) + "\n").encode()
     if path.exists() and path.read_bytes() == data:
         return "is so already"
     if path.exists() and not force:
-        raise click.ClickException(f"{path} is there already; --force writes over it")
+        raise click.ClickException(f"{path} already exists; use --force to overwrite it")
     try:
         atomic_write.replace_file(path, data)
     except OSError as error:
--- a/rushmux/cli/edge.py
+++ b/rushmux/cli/edge.py
@@ -30,7 +30,7 @@
     "endpoint_sources",
     type=AddressListParameter(),
     required=True,
-    help="source of the list of nodes; of several planners with commas between",
+    help="address of the endpoint list's source; several planners separated by commas",
 )
 @click.option(
     "--decisions", type=click.Choice(["module", "passthrough"]), default="module", show_default=True
@@ -38,9 +38,9 @@
 @click.option(
     "--data",
     type=click.Path(),
-    help="folder for the log of its write-back buffer and the last list; left out: neither",
+    help="folder for the write-back log and the last endpoint list; default: neither is stored",
 )
-def edge(  # over 40 lines: the parts of an edge are put together here, one a line
+def edge(  # over 40 lines: assembles the parts of an edge, one a line
     options: ServerOptions,
     *,
     number: int,
@@ -48,7 +48,7 @@
     decisions: str,
     data: str | None,
 ) -> None:
-    """Takes clients and serves their files from the nodes."""
+    """Serves SFTP clients from the storage nodes."""
     from rushmux.buffer.writeback import write_back_factory
     from rushmux.edge.edge import Edge
     from rushmux.edge.endpoint_cache import EndpointCache
@@ -89,23 +89,25 @@
 
 
 def _open_policy_store(data: str | None) -> "PolicyStore":
-    """The store of the fleet's policy in the edge's data folder."""
+    """Opens the store of the fleet's policy in the edge's data folder."""
     from rushmux.edge.policy_store import PolicyFormatError, PolicyStore
 
     if not data:
-        raise click.ClickException("an edge of a fleet with a policy needs --data: it keeps what was decided")
+        raise click.ClickException(
+            "an edge of a fleet with a policy needs --data to store the decided policy"
+        )
     store = PolicyStore(Path(data) / "policy.kept")
     try:
         store.load()
     except PolicyFormatError as error:
         raise click.ClickException(str(error)) from error
-    except Exception:  # whatever is wrong with the file: the edge logs it when it starts
-        pass  # it serves nothing until a planner has sent the policy
+    except Exception:  # damaged file: the edge logs it at startup
+        pass  # and serves nothing until a planner has sent the policy
     return store
 
 
 def _open_log_disk(deployment: "Deployment", data: str | None) -> "SegmentFolder | None":
-    """The folder of the write-back buffer's log, where there is both a buffer and a data folder."""
+    """Opens the folder of the write-back log if there are both a buffer and a data folder."""
     from rushmux.buffer.disk import SegmentFolder
     from rushmux.buffer.errors import LogInUseError
 
@@ -118,7 +120,7 @@
 
 
 def _record_state(server: "Edge", record: "Callable[..., None]") -> None:
-    """Records each change of the policy that the edge applies and of its list of nodes."""
+    """Records each change of the edge's active policy and of its endpoint list."""
     identity = {"edge": server.name, "start": server.incarnation}
     server.on_policy_state = lambda state: record(
         "goes_by",
--- a/rushmux/cli/fault_scenarios.py
+++ b/rushmux/cli/fault_scenarios.py
@@ -1,4 +1,4 @@
-"""`rushmux rig`: scenarios of faults between real processes, judged from recordings."""
+"""`rushmux rig`: plays fault scenarios on processes and checks their recordings."""
 
 import asyncio
 import tempfile
@@ -12,23 +12,27 @@
 
 @click.command(
     "rig",
-    help="Plays stories (names, or files) on planners, edges and nodes of their own; exit 1 where one breaks"
-    " a rule.",
+    help="Plays stories (names, or files), each on its own planners, edges and nodes; exits with 1 if one"
+    " breaks a rule.",
 )
 @click.argument("scenarios", metavar="[STORIES]...", nargs=-1)
-@click.option("--all", "run_all", is_flag=True, help="every story of the collection")
+@click.option("--all", "run_all", is_flag=True, help="play every bundled story")
 @click.option(
-    "--jobs", type=click.IntRange(1, MAX_JOBS), default=3, show_default=True, help="stories at a time"
+    "--jobs",
+    type=click.IntRange(1, MAX_JOBS),
+    default=3,
+    show_default=True,
+    help="stories to play in parallel",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
     "--data", type=click.Path(), help="folder for data, logs and recordings; default: a temporary one"
 )
-@click.option("--facts", is_flag=True, help="counts of each story")
+@click.option("--facts", is_flag=True, help="show counts of each story")
 def rig(
     scenarios: Sequence[str], *, run_all: bool, jobs: int, seed: int, data: str | None, facts: bool
 ) -> None:
-    """Runs fault scenarios; exit 1 where one breaks a rule."""
+    """Plays fault scenarios; exits with 1 if one breaks a rule."""
     from rushmux.standins import fault_injection, fault_scenario
 
     try:
--- a/rushmux/cli/fleet.py
+++ b/rushmux/cli/fleet.py
@@ -16,22 +16,22 @@
     "--planner",
     type=AddressListParameter(),
     required=True,
-    help="HOST:PORT of the planner; of several with commas between",
+    help="HOST:PORT of the planner; several planners separated by commas",
 )
 MAX_POLLS = 100_000
-"""Requests of one `watch`."""
+"""Maximum requests of one `watch`."""
 DRAIN_POLL_INTERVAL = 0.5
-"""Seconds between two requests while `drain --wait` waits."""
+"""Seconds between two requests of `drain --wait`."""
 
 Planners = Address | Sequence[Address]
 """Address of the planner, or of several."""
 
 
 def run_command(planner: Planners, verb: str, member: str = "") -> "messages.Ordered":
-    """Sends a fleet command; the planner's answer.
+    """Sends a fleet command and returns the planner's answer.
 
     Raises:
-        click.ClickException: The planner rejected it or could not be reached.
+        click.ClickException: The planner rejected the command or could not be reached.
     """
     from rushmux.planner import admin_client
     from rushmux.planner.errors import CommandRejectedError
@@ -44,19 +44,19 @@
 
 
 def row_of(answer: "messages.Ordered", member: str) -> "messages.Known":
-    """The row of one member in a planner's answer."""
+    """Returns a member's row in a planner's answer."""
     return next(row for row in answer.members if row.member == member)
 
 
 @click.group()
 def fleet() -> None:
-    """Nodes and edges as the planner knows them; drains."""
+    """Shows nodes and edges as the planner knows them, and drains nodes."""
 
 
 @fleet.command()
 @PLANNER
 def show(planner: Planners) -> None:
-    """Every member, its condition and why."""
+    """Shows every member, its condition and the reason."""
     from rushmux.planner import admin_client
 
     click.echo("\n".join(admin_client.format_fleet(run_command(planner, "show"))))
@@ -65,9 +65,9 @@
 @fleet.command()
 @PLANNER
 @click.argument("node")
-@click.option("--wait", type=float, default=0.0, help="seconds to wait until it may be stopped")
+@click.option("--wait", type=float, default=0.0, help="seconds to wait until the node may be stopped")
 def drain(planner: Planners, *, node: str, wait: float) -> None:
-    """Nothing new goes to a node; exit 1 where it may not be stopped in the time waited for."""
+    """Stops new work for a node; exits with 1 if the node may not be stopped after --wait."""
     answer, deadline = run_command(planner, "drain", node), time.monotonic() + wait
     while True:
         row = row_of(answer, node)
@@ -83,7 +83,7 @@
 @PLANNER
 @click.argument("node")
 def undrain(planner: Planners, *, node: str) -> None:
-    """A node may be used again."""
+    """Lets a node be used again."""
     row = row_of(run_command(planner, "undrain", node), node)
     click.echo(f"{node}: {row.condition}, {row.reason}")
 
--- a/rushmux/cli/lab.py
+++ b/rushmux/cli/lab.py
@@ -1,6 +1,6 @@
 """`rushmux lab`: experiments on emulated fleets.
 
-The laboratory is imported by the commands that use it: its libraries would slow all others down.
+The commands import the lab themselves: its libraries would slow down all other commands.
 """
 
 import os
@@ -22,14 +22,14 @@
     from rushmux.lab.run import Results
 
 EXPERIMENTS = Path(__file__).resolve().parents[1] / "lab" / "experiments"
-PROGRESS_WIDTH = 100  # columns, so that a line covers the one before
+PROGRESS_WIDTH = 100  # columns; a line overwrites the previous one
 MAX_JOBS, MAX_DAYS = 256, 100_000
 DATA = click.option(
     "--data",
     type=click.Path(),
     default="var/lab",
     show_default=True,
-    help="folder of the store of results and the reports",
+    help="folder of the result store and the reports",
 )
 JOBS = click.option(
     "--jobs",
@@ -40,7 +40,7 @@
 
 
 def _load_experiment(name: str) -> "Experiment":
-    """An experiment by its name among those that come along, or by its file."""
+    """Loads a bundled experiment by name, or any experiment from a file."""
     from rushmux.lab import experiment
 
     path = EXPERIMENTS / f"{name}.json"
@@ -64,7 +64,7 @@
 
 
 def _show_progress(text: str) -> None:
-    """Progress on standard error: one line that is written over on a terminal."""
+    """Prints progress to standard error; on a terminal, each line overwrites the previous one."""
     if sys.stderr.isatty():
         click.echo(f"{text:{PROGRESS_WIDTH}}\r", err=True, nl=False)
     else:
@@ -73,7 +73,7 @@
 
 @click.group()
 def lab() -> None:
-    """Experiments on emulated fleets: what a change does, with confidence."""
+    """Runs experiments on emulated fleets, to measure what a change does."""
 
 
 @lab.command()
@@ -82,9 +82,9 @@
 @JOBS
 @click.option("--report/--no-report", default=True, show_default=True)
 def run(experiment: str, data: str, jobs: int, report: bool) -> None:
-    """Plays an experiment, goes on where one was killed, and says what was seen.
+    """Runs an experiment, or resumes an interrupted one, and prints a summary.
 
-    Exit 1 where a variant of the module broke a rule.
+    Exits with 1 if a variant of the scheduler broke a rule.
     """
     from rushmux.lab.experiment import ExperimentError, expand
 
@@ -99,11 +99,11 @@
 
 
 def _run_one(experiment: "Experiment", store: "ResultStore", jobs: int, report_folder: Path | None) -> bool:
-    """Runs one experiment and says what was seen; whether the scheduler kept the rules."""
+    """Runs one experiment, prints a summary and returns whether the scheduler kept the rules."""
     from rushmux.lab import run as runs
     from rushmux.lab.variants import SourceError
 
-    begun = time.monotonic()
+    started_at = time.monotonic()
     try:
         results = runs.run(experiment, store, jobs, _show_progress)
     except SourceError as error:
@@ -113,12 +113,12 @@
         from rushmux.lab import report
 
         path = report.write(experiment, results, report_folder / experiment["name"])
-        click.echo(f"{path} ({time.monotonic() - begun:.0f} s)")
+        click.echo(f"{path} ({time.monotonic() - started_at:.0f} s)")
     return _scheduler_kept_rules(experiment, results)
 
 
 def _scheduler_kept_rules(experiment: "Experiment", results: "Results") -> bool:
-    """Whether no variant of the scheduler broke a rule; baselines and changed texts may."""
+    """Returns whether no scheduler variant broke a rule; baselines and modified sources may."""
     names = [
         variant["name"]
         for variant in experiment["variants"]
@@ -134,9 +134,9 @@
 @JOBS
 @click.option("--days", type=click.IntRange(1, MAX_DAYS), default=120, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--save", type=click.Path(), help="file for the worst day, shrunk to what matters")
+@click.option("--save", type=click.Path(), help="file for the worst day, shrunk to the faults that matter")
 def search(experiment: str, *, data: str, jobs: int, days: int, seed: int, save: str | None) -> None:
-    """Looks for the day on which the first variant serves worst, within the experiment's ranges."""
+    """Searches an experiment's ranges for the day on which its first variant serves worst."""
     from rushmux.lab import saved_day
     from rushmux.lab import search as searches
 
@@ -153,7 +153,7 @@
 @lab.command()
 @click.argument("case", type=click.Path())
 def replay(case: str) -> None:
-    """Plays a saved day again; exit 1 where it ends otherwise than it was saved, or a rule breaks."""
+    """Replays a saved day; exits with 1 if the result differs from the saved one or a rule is broken."""
     from rushmux.lab import saved_day
 
     try:
@@ -168,7 +168,7 @@
 @click.argument("experiment")
 @click.option("--seed", type=int, default=1, show_default=True)
 def yardstick(experiment: str, seed: int) -> None:
-    """How far each variant is from what full knowledge could serve on one day."""
+    """Compares each variant with the most that full knowledge could serve on one day."""
     from rushmux.lab import variants
     from rushmux.lab.day import draw_day
     from rushmux.lab.fleet import draw_node_speeds
@@ -193,7 +193,7 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--out", type=click.Path(), required=True)
 def trace(experiment: str, seed: int, out: str) -> None:
-    """Writes the arrivals of one day as a trace."""
+    """Writes the arrivals of one day to a trace file."""
     from rushmux.lab import trace as traces
     from rushmux.lab.day import draw_day, draw_volumes
 
@@ -219,7 +219,7 @@
 def load(
     experiment: str, edges: "Sequence[Address]", seed: int, seconds: float, folders: Sequence[str]
 ) -> None:
-    """Drives running edges over sockets with an experiment's workload."""
+    """Sends an experiment's workload to running edges over sockets."""
     from rushmux.lab import load as loads
 
     loaded = _load_experiment(experiment)
--- a/rushmux/cli/local_fleet.py
+++ b/rushmux/cli/local_fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet of real processes on loopback (`rushmux up`), and its deployment file."""
+"""`rushmux up`: a fleet of processes on loopback, and its deployment file."""
 
 import asyncio
 import contextlib
@@ -16,29 +16,29 @@
 from rushmux.standins.processes import HOST, ProcessFleet, ProcessStartError
 
 UNIT_TIME = 0.001
-"""Seconds of a core for a unit of work at a node of `rushmux up`, which is there to be used."""
+"""Core seconds for one unit of work; short, since the fleet is meant to be used."""
 ENDPOINT_LAG = 0.5
-"""Seconds until a change of the list of nodes is told."""
+"""Seconds until a change of the endpoint list is announced."""
 CHECK_INTERVAL = 0.5
-"""Seconds between two checks whether all processes live."""
+"""Seconds between two checks that all processes are alive."""
 RESTART_DELAY = 1.0
-"""Seconds until a process that ended is started again."""
+"""Seconds until a process that ended is restarted."""
 FLEET_FILE_FORMAT = 1
 
 
 def write_deployment(
     template: str | PathLike[str], edges: int, folder: Path, unit_time: float
 ) -> tuple[Path, deployments.Deployment]:
-    """Writes a deployment file for so many edges on stand-in nodes of a speed.
+    """Writes a deployment file for a fleet of stand-in nodes, and loads it.
 
-    What overloads such a cold node is known, and the gateways' parts of it are made as small as the
-    verifier asks.
+    The load that overloads such a node when cold is known; each gateway's part of it is set as low as the
+    verifier requires.
 
     Args:
-        template: The deployment file that it is made from.
+        template: The deployment file to start from.
         edges: Number of edges.
         folder: Where `deployment.json` is written.
-        unit_time: Seconds of a core for a unit of work.
+        unit_time: Core seconds for one unit of work on a node.
     """
     shape = fleets.shape_of(load_deployment(template), unit=unit_time)
     raw = json.loads(Path(template).read_text())
@@ -56,7 +56,7 @@
 
 
 def _accept_nearest_cold_units(raw: dict, error: deployments.DeploymentError) -> None:
-    """Takes over the nearest value that the verifier names for a cold node's units."""
+    """Sets `cold_units` to the nearest value that the verifier suggests."""
     for finding in error.findings:
         nearest = re.fullmatch(r"/fleet/cold_units (\S+)", finding.suggestion)
         if nearest:
@@ -64,13 +64,13 @@
 
 
 def run_until_stopped(edges: int, nodes: int, folder: Path, file: str) -> None:
-    """Starts a fleet, restarts what ends, and stops it on SIGTERM or SIGINT.
+    """Starts a fleet, restarts processes that end, and stops the fleet on SIGTERM or SIGINT.
 
     Args:
         edges: Number of edges.
-        nodes: Number of nodes; it must be that of earlier starts with the same folder.
+        nodes: Number of nodes; the same at every start with a folder.
         folder: Where the fleet keeps its data.
-        file: The deployment file that the fleet's own is made from.
+        file: The deployment file to derive the fleet's own from.
     """
     path, deployment = write_deployment(file, edges, folder, UNIT_TIME)
     _check_node_count(folder, nodes)
@@ -95,13 +95,13 @@
 
 
 def _check_node_count(folder: Path, nodes: int) -> None:
-    """Notes the number of nodes at the first start; a later start with another number is an error."""
+    """Stores the number of nodes at the first start; a later start must have the same number."""
     fleet_file = folder / "fleet.json"
     stored = json.loads(fleet_file.read_text())["cells"] if fleet_file.exists() else nodes
     if stored != nodes:
         raise click.ClickException(
             f"{folder} holds a fleet of {stored} nodes, not {nodes}: "
-            "where names lie follows from their number"
+            "the placement of names depends on the number of nodes"
         )
     fleet_file.write_text(json.dumps({"format": FLEET_FILE_FORMAT, "cells": nodes}))
 
@@ -112,7 +112,7 @@
 
 
 async def _restart_until_stopped(fleet: ProcessFleet, stopped: asyncio.Event) -> None:
-    """Restarts processes that ended, nodes cold and with the data they hold."""
+    """Restarts processes that end; nodes start cold and keep their data."""
     while not stopped.is_set():
         await _restart_ended(fleet)
         with contextlib.suppress(TimeoutError):
--- a/rushmux/cli/main.py
+++ b/rushmux/cli/main.py
@@ -1,7 +1,6 @@
-"""The command `rushmux` and its sub-commands.
+"""The `rushmux` command and its sub-commands.
 
-What a sub-command needs beyond its arguments is imported when it runs: a command that waits for nothing
-else starts quickly.
+Sub-commands import most modules only when they run, so that each starts quickly.
 """
 
 import sys
@@ -30,7 +29,7 @@
 
 @click.group()
 def main() -> None:
-    """rushmux: a storage gateway, and the stand-ins it is tried against."""
+    """rushmux: a storage gateway, and the stand-ins it is tested against."""
 
 
 for command in (lab, fleet, policy, rig, edge, node, lists, planner, connect, check, move):
@@ -50,13 +49,15 @@
 
 
 @main.command()
-@click.option("--day", default="short", show_default=True, help="a scripted day by its name, or a file")
+@click.option("--day", default="short", show_default=True, help="name of a scripted day, or its file")
 @click.option("--edges", type=click.IntRange(1, MAX_DEMO_EDGES), default=3, show_default=True)
 @click.option("--nodes", type=click.IntRange(1, MAX_DEMO_NODES), default=6, show_default=True)
-@click.option("--load", type=float, default=0.5, show_default=True, help="part of the folders' nominal rates")
+@click.option(
+    "--load", type=float, default=0.5, show_default=True, help="fraction of the folders' nominal rates"
+)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--virtual", is_flag=True, help="in one process on a simulated clock")
-@click.option("--both", is_flag=True, help="the same day with a plain pass-through beside it")
+@click.option("--virtual", is_flag=True, help="run in one process on a simulated clock")
+@click.option("--both", is_flag=True, help="also play the day with a plain pass-through")
 @click.option(
     "--data", type=click.Path(), help="folder for data, logs and recordings; default: a temporary one"
 )
@@ -73,21 +74,21 @@
     data: str | None,
     file: str,
 ) -> None:
-    """Plays a scripted bad day, checks the rules from its recordings and prints a report."""
+    """Plays a scripted day of faults, checks the rules on its recordings and prints a report."""
     from rushmux.cli import demo as demos
 
-    wanted = demos.Demo(day, edges, nodes, load, seed, virtual, file)
-    sys.exit(0 if demos.run(wanted, both, data) else 1)
+    options = demos.Demo(day, edges, nodes, load, seed, virtual, file)
+    sys.exit(0 if demos.run(options, both, data) else 1)
 
 
 @main.command()
 @click.option("--runs", type=click.IntRange(1, MAX_KILLS), default=300, show_default=True)
-@click.option("--seed", type=int, default=1, show_default=True, help="of the first; each next has the next")
-@click.option("--real", is_flag=True, help="real processes in place of the virtual clock")
+@click.option("--seed", type=int, default=1, show_default=True, help="of the first run; each run adds one")
+@click.option("--real", is_flag=True, help="use processes instead of a simulated clock")
 @click.option("--jobs", type=click.IntRange(1, MAX_JOBS), default=4, show_default=True)
 @DEPLOYMENT
 def kills(*, runs: int, seed: int, real: bool, jobs: int, file: str) -> None:
-    """Kills an edge within its write-back at random moments and checks what it had promised."""
+    """Kills an edge at random moments of its write-back and checks that its guarantees hold."""
     from rushmux.cli import crash_rounds
 
     failures = crash_rounds.run(runs, seed, real, jobs, file)
--- a/rushmux/cli/node.py
+++ b/rushmux/cli/node.py
@@ -1,4 +1,4 @@
-"""`rushmux node` and `rushmux lists`: the stand-ins for storage nodes and the source of their list."""
+"""`rushmux node` and `rushmux lists`: stand-ins for storage nodes and the endpoint list's source."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -19,21 +19,23 @@
     from collections.abc import Sequence
 
 CELLS = click.option(
-    "--cells", type=int, required=True, help="shards that data is spread over; never changed later"
+    "--cells", type=int, required=True, help="number of shards of the data; must never change"
+)
+ACCEPTS_FAULTS = click.option(
+    "--obeys", "accepts_faults", is_flag=True, help="accept commands that inject faults"
 )
-ACCEPTS_FAULTS = click.option("--obeys", "accepts_faults", is_flag=True, help="take orders to be in trouble")
 
 
 @click.command("node")
 @server_options
 @click.option("--name", required=True)
-@click.option("--cell", type=int, required=True, help="the shard of data it holds")
+@click.option("--cell", type=int, required=True, help="shard of the data that it holds")
 @click.option("--zone", default="z", show_default=True)
 @click.option("--lists", "endpoint_sources", type=AddressListParameter(), required=True)
 @click.option(
-    "--tell", "advertised", type=AddressParameter(), help="where edges find it, if not where it listens"
+    "--tell", "advertised", type=AddressParameter(), help="address to advertise, if not the one it listens on"
 )
-@click.option("--data", type=click.Path(), required=True, help="file of its store")
+@click.option("--data", type=click.Path(), required=True, help="database file of its store")
 @click.option("--disk", "disk_bytes", type=int, default=1 << 30, show_default=True, help="bytes")
 @click.option(
     "--unit",
@@ -41,11 +43,11 @@
     type=float,
     default=0.015,
     show_default=True,
-    help="seconds of a core for a unit of work",
+    help="core seconds for one unit of work",
 )
 @click.option("--cores", type=int, default=2, show_default=True)
 @click.option("--warm", is_flag=True, help="start at full capacity")
-@click.option("--sync", is_flag=True, help="every commit reaches the disk before it is answered")
+@click.option("--sync", is_flag=True, help="sync each commit to disk before answering")
 @ACCEPTS_FAULTS
 def node(  # over 40 lines: a parameter for each option
     options: ServerOptions,
@@ -63,7 +65,7 @@
     sync: bool,
     accepts_faults: bool,
 ) -> None:
-    """A stand-in storage node."""
+    """Runs a stand-in for a storage node."""
     from rushmux.standins.fleet import shape_of, window_of
     from rushmux.standins.node import Identity, Node
     from rushmux.standins.store import Store, StoreError
@@ -94,10 +96,10 @@
 @click.command("lists")
 @server_options
 @CELLS
-@click.option("--lag", type=float, default=1.0, show_default=True, help="seconds until a change is told")
+@click.option("--lag", type=float, default=1.0, show_default=True, help="seconds until a change is announced")
 @ACCEPTS_FAULTS
 def lists(options: ServerOptions, *, cells: int, lag: float, accepts_faults: bool) -> None:
-    """A stand-in for the source of the list of nodes."""
+    """Runs a stand-in for the endpoint list's source."""
     from rushmux.standins.lists import ListSource
 
     deployment = load_deployment(options.deployment_file)
--- a/rushmux/cli/parameters.py
+++ b/rushmux/cli/parameters.py
@@ -10,7 +10,7 @@
 from rushmux.settings import deployment as deployments
 
 EXAMPLE = Path(deployments.__file__).with_name("example.json")
-"""The deployment file that a command uses where none is named."""
+"""The default deployment file."""
 MAX_PORT = 65_535
 SEED_BYTES = 6
 
@@ -19,27 +19,27 @@
 
 
 class AddressParameter(click.ParamType):
-    """HOST:PORT, as an `Address`."""
+    """HOST:PORT, parsed to an `Address`."""
 
     name = "host:port"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The address that a word states; a usage error where it states none."""
+        """Parses an address; a malformed one is a usage error."""
         if isinstance(value, tuple):
             return value
         host, _, port = value.rpartition(":")
         if not host or not port.isdigit() or int(port) > MAX_PORT:
-            self.fail(f"'{value}' is no HOST:PORT", param, ctx)
+            self.fail(f"'{value}' is not HOST:PORT", param, ctx)
         return host, int(port)
 
 
 class AddressListParameter(AddressParameter):
-    """HOST:PORT as an `Address`, or several with commas between as a tuple of them."""
+    """HOST:PORT, parsed to an `Address`, or several separated by commas, parsed to a tuple of them."""
 
     name = "host:port[,...]"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The address or addresses that a word states; a usage error where one is none."""
+        """Parses one or several addresses; a malformed one is a usage error."""
         if isinstance(value, tuple):
             return value
         convert_one = super().convert
@@ -48,32 +48,32 @@
 
 
 class NamedAddressesParameter(AddressParameter):
-    """NAME=HOST:PORT with commas between, as a mapping of names to addresses."""
+    """NAME=HOST:PORT, separated by commas, parsed to a mapping of names to addresses."""
 
     name = "name=host:port[,...]"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """The addresses by name; a usage error where a part is malformed or a name comes twice."""
+        """Parses addresses by name; a malformed part or a repeated name is a usage error."""
         if isinstance(value, dict):
             return value
         addresses: dict[str, Address] = {}
         for part in value.split(","):
             name, equals, address = part.strip().partition("=")
             if not equals or not name.isalnum() or name in addresses:
-                self.fail(f"'{part}' is no NAME=HOST:PORT, or names one twice", param, ctx)
+                self.fail(f"'{part}' is not NAME=HOST:PORT, or repeats a name", param, ctx)
             addresses[name] = super().convert(address, param, ctx)
         return addresses
 
 
 def load_deployment(path: str | PathLike[str], explain: bool = False) -> deployments.Deployment:
-    """The deployment of a file.
+    """Loads a deployment file.
 
     Args:
         path: The deployment file.
-        explain: Whether the verifier's findings are shown with how each would come about.
+        explain: Whether the error message explains how each of the verifier's findings could occur.
 
     Raises:
-        click.ClickException: The file has faults; all of them are named.
+        click.ClickException: The file has faults; the message lists all of them.
     """
     try:
         return deployments.load(path)
@@ -85,7 +85,7 @@
 
 
 def _explained_faults(error: deployments.DeploymentError) -> list[str]:
-    """The faults as lines; those that the verifier found with their explanations, at the end."""
+    """Returns the faults as lines; the verifier's findings, with explanations, come last."""
     found_by_verifier = {(finding.place, finding.text) for finding in error.findings}
     lines = [f"{place}: {text}" for place, text in error.faults if (place, text) not in found_by_verifier]
     for finding in error.findings:
@@ -94,5 +94,5 @@
 
 
 def new_seed(seed: int | None) -> int:
-    """The seed that was asked for, or one from the machine's entropy."""
+    """Returns `seed`, or one from the system's entropy if it is None."""
     return int.from_bytes(os.urandom(SEED_BYTES), "big") if seed is None else seed
--- a/rushmux/cli/planner.py
+++ b/rushmux/cli/planner.py
@@ -1,4 +1,4 @@
-"""`rushmux planner`: the control plane's server."""
+"""`rushmux planner`: a server of the control plane."""
 
 import asyncio
 import random
@@ -18,17 +18,22 @@
 @server_options
 @CELLS
 @click.option(
-    "--data", type=click.Path(), required=True, help="file of what it knows; its log lies beside it"
+    "--data",
+    type=click.Path(),
+    required=True,
+    help="file of its membership store; its log is stored beside it",
 )
 @click.option(
-    "--planners", type=NamedAddressesParameter(), help="all planners of the fleet, this one among them"
+    "--planners",
+    type=NamedAddressesParameter(),
+    help="addresses of all planners of the fleet, including this one",
 )
-@click.option("--name", default="a", show_default=True, help="which of the planners this is")
+@click.option("--name", default="a", show_default=True, help="name of this planner")
 @click.option(
     "--found",
     "bootstrap",
     is_flag=True,
-    help="begin the planners' log; at the fleet's first start only",
+    help="create the planners' log; only at the fleet's first start",
 )
 def planner(  # over 40 lines: a parameter for each option
     options: ServerOptions,
@@ -39,7 +44,7 @@
     name: str,
     bootstrap: bool,
 ) -> None:
-    """Knows which nodes and edges live, and tells the edges."""
+    """Tracks which nodes and edges are alive, and informs the edges."""
     from rushmux.planner.errors import MembershipStoreError, RaftStorageError
     from rushmux.planner.membership_store import MembershipStore
     from rushmux.planner.planner import Planner
@@ -76,9 +81,9 @@
 def _replication_settings(
     planners: dict[str, Address], name: str, log_path: str, seed: int | None, bootstrap: bool
 ) -> "ReplicationSettings":
-    """How a planner replicates its log with the others."""
+    """Returns the settings for replicating the log with the other planners."""
     from rushmux.planner.replication_settings import ReplicationSettings
 
     if name not in planners:
-        raise click.ClickException(f"there is no planner '{name}'; there are {', '.join(planners)}")
+        raise click.ClickException(f"unknown planner '{name}'; the planners are {', '.join(planners)}")
     return ReplicationSettings(name, planners, log_path, random.Random(new_seed(seed)), bootstrap=bootstrap)
--- a/rushmux/cli/policy.py
+++ b/rushmux/cli/policy.py
@@ -13,18 +13,18 @@
 from rushmux.cli.parameters import load_deployment, new_seed
 
 MAX_POLLS = 100_000
-"""Requests of one `watch`."""
+"""Maximum requests of one `watch`."""
 POLL_INTERVAL = 0.5
 """Seconds between two requests for the state."""
 EXIT_NOT_DECIDED, EXIT_UNDER_WAY = 1, 2
-WAIT = click.option("--wait", type=float, default=0.0, help="seconds to wait until it has ended")
+WAIT = click.option("--wait", type=float, default=0.0, help="seconds to wait for the change to end")
 
 State = dict[str, Any]
-"""The policy's state as the planner sends it: JSON."""
+"""The policy's state, the JSON object that the planner sends."""
 
 
 def request(planner: Planners, verb: str, **fields: Any) -> tuple[str, State]:
-    """Sends a policy command; what came of it, and the policy's state."""
+    """Sends a policy command and returns its result and the policy's state."""
     from rushmux.planner import admin_client
     from rushmux.planner.errors import CommandRejectedError
 
@@ -36,9 +36,9 @@
 
 
 def run_command(planner: Planners, verb: str, **fields: Any) -> str:
-    """Sends a command under an idempotency key of its own, so that a lost answer does not repeat it.
+    """Sends a command with a new idempotency key, so that a resend after a lost answer has no effect.
 
-    Prints what came of it and returns it; exits where it was rejected.
+    Prints and returns the result; exits with 1 if the command was refused.
     """
     result, _ = request(planner, verb, client=f"{new_seed(None):012x}", n=1, by=getpass.getuser(), **fields)
     click.echo(result)
@@ -48,7 +48,7 @@
 
 
 def format_state(state: State) -> list[str]:
-    """The policy, and which member goes by what, as lines of plain text."""
+    """Formats the policy's state, and the policy that each member applies, as plain text."""
     active, staged = state["force"], state["staged"]
     lines = [
         f"in force: {active['number'] if active else 'none'}; under way: "
@@ -68,7 +68,7 @@
 
 
 def await_change(planner: Planners, number: int, seconds: float) -> None:
-    """Waits until a change has ended; exit 1 where it took hold nowhere, 2 where it is still under way."""
+    """Waits until a change has ended; exits with 1 if it took hold nowhere, 2 if it is still under way."""
     deadline = time.monotonic() + seconds
     while True:
         _, state = request(planner, "show")
@@ -87,14 +87,14 @@
 
 @click.group()
 def policy() -> None:
-    """The fleet's policy: lanes, plans, limits and routes, decided in common by the planners."""
+    """The fleet's policy: lanes, plans, limits and routes, which the planners decide together."""
 
 
 @policy.command()
 @PLANNER
-@click.option("--text", is_flag=True, help="the policy in force itself, as JSON")
+@click.option("--text", is_flag=True, help="print the policy in force as JSON")
 def show(planner: Planners, *, text: bool) -> None:
-    """What is in force, what is under way, and which member goes by what."""
+    """Shows what is in force, what is under way, and the policy that each member applies."""
     _, state = request(planner, "show")
     if text:
         click.echo(json.dumps(json.loads(state["force"]["text"]), indent=2, ensure_ascii=False))
@@ -105,10 +105,10 @@
 @policy.command()
 @PLANNER
 @WAIT
-@click.option("--base", type=int, help="refuse it where another number is in force")
+@click.option("--base", type=int, help="refuse the proposal if another number is in force")
 @click.argument("file", type=click.Path())
 def propose(planner: Planners, *, wait: float, base: int | None, file: str) -> None:
-    """Proposes the policy of a deployment file: it takes hold at every member, or at none."""
+    """Proposes the policy of a deployment file, to be applied by all members or none."""
     from rushmux.settings import policy as documents
 
     text = documents.serialize(load_deployment(file, explain=True).raw)
@@ -122,7 +122,7 @@
 @WAIT
 @click.argument("number", type=int)
 def revert(planner: Planners, *, wait: float, number: int) -> None:
-    """Proposes a policy of before anew, under a new number."""
+    """Proposes an earlier policy again, under a new number."""
     result = run_command(planner, "revert", number=number)
     if wait:
         await_change(planner, int(result.split()[0]), wait)
@@ -132,7 +132,7 @@
 @PLANNER
 @click.argument("number", type=int)
 def withdraw(planner: Planners, *, number: int) -> None:
-    """Ends a change that is under way, everywhere."""
+    """Withdraws a change that is under way, at all members."""
     run_command(planner, "withdraw", number=number)
 
 
@@ -140,14 +140,14 @@
 @PLANNER
 @click.argument("member")
 def forget(planner: Planners, *, member: str) -> None:
-    """Says that an edge is gone for good, so that changes do not wait for what it might go by."""
+    """Declares an edge gone for good, so that changes do not wait for the policy it may still apply."""
     run_command(planner, "forget", member=member)
 
 
 @policy.command()
 @PLANNER
 def history(planner: Planners) -> None:
-    """All changes and how they ended."""
+    """Lists all changes and how they ended."""
     for change in request(planner, "show")[1]["history"]:
         click.echo(f"{change['number']:>4} {change['end']:10} {change['by']}: {change['why']}")
 
@@ -155,34 +155,38 @@
 @policy.command()
 @PLANNER
 @click.argument("file", type=click.Path(), required=False)
-@click.option("--past", type=int, help="compare with a policy of before that is still kept")
+@click.option("--past", type=int, help="compare with an earlier policy that is still kept")
 def diff(planner: Planners, *, file: str | None, past: int | None) -> None:
-    """What a file, or a policy of before, would change in the one in force."""
+    """Shows what a file, or an earlier policy, would change in the one in force."""
     _, state = request(planner, "show")
     other, name = _other_policy(state, file, past)
     active = state["force"]
     lines = difflib.unified_diff(
-        _indented(active["text"]), _indented(other), f"policy {active['number']}", name, lineterm=""
+        _indented_lines(active["text"]),
+        _indented_lines(other),
+        f"policy {active['number']}",
+        name,
+        lineterm="",
     )
     click.echo("\n".join(lines) or "the same")
 
 
 def _other_policy(state: State, file: str | None, past: int | None) -> tuple[str, str]:
-    """The text and name of what the active policy is compared with: a former version, or a file."""
+    """Returns the text and name of the policy to compare with: an earlier version, or a file's."""
     from rushmux.settings import policy as documents
 
     if past is not None:
-        former = state["texts"]
-        if str(past) not in former:
-            raise click.ClickException(f"{past} is not kept; there are {', '.join(former) or 'none'}")
-        return former[str(past)], f"policy {past}"
+        earlier = state["texts"]
+        if str(past) not in earlier:
+            raise click.ClickException(f"{past} is not kept; there are {', '.join(earlier) or 'none'}")
+        return earlier[str(past)], f"policy {past}"
     if file:
         return documents.serialize(load_deployment(file, explain=True).raw), file
     raise click.ClickException("name a file, or --past NUMBER")
 
 
-def _indented(text: str) -> list[str]:
-    """A policy's JSON as sorted lines, so that two can be compared."""
+def _indented_lines(text: str) -> list[str]:
+    """Returns a policy's JSON as lines with sorted keys, for a diff."""
     return json.dumps(json.loads(text), indent=1, sort_keys=True, ensure_ascii=False).splitlines()
 
 
@@ -191,7 +195,7 @@
 @click.option("--every", "interval", type=click.FloatRange(0.1, 60), default=POLL_INTERVAL, show_default=True)
 @click.option("--looks", "polls", type=click.IntRange(1, MAX_POLLS), default=MAX_POLLS, show_default=True)
 def watch(planner: Planners, *, interval: float, polls: int) -> None:
-    """Prints changes and members as they come to pass."""
+    """Prints changes and members' states as they occur."""
     known = {}
     for poll in range(polls):
         _, state = request(planner, "show")
@@ -205,7 +209,7 @@
 
 
 def _watched_rows(state: State) -> dict[tuple[str, Any], str]:
-    """A line for each change and each member."""
+    """Returns a line for each change and each member."""
     rows: dict[tuple[str, Any], str] = {
         ("change", change["number"]): f"change {change['number']}: {change['end']}, {change['why']}"
         for change in state["history"]
--- a/rushmux/cli/serving.py
+++ b/rushmux/cli/serving.py
@@ -1,4 +1,4 @@
-"""What the commands that run a server share: their options, and running it until it is told to end."""
+"""Common options of the commands that run a server, and running it until it is stopped."""
 
 import asyncio
 import functools
@@ -17,18 +17,18 @@
 from rushmux.supervision import Supervisor
 
 EXIT_TASK_FAILED = 70
-"""Exit code of a program that ended because of an error of its own (EX_SOFTWARE of sysexits.h)."""
+"""Exit code after an internal error (EX_SOFTWARE of sysexits.h)."""
 LEVELS = click.Choice(sorted(log.LEVELS))
 
 
 class Server(Protocol):
-    """A part of a fleet that listens on an address."""
+    """A process of a fleet that listens on an address."""
 
     async def open(self, host: str, port: int) -> int:
-        """Listens; the port, which the system chose where 0 was asked for."""
+        """Starts listening and returns the port, which the system chooses if `port` is 0."""
 
     async def close(self) -> None:
-        """Ends in order."""
+        """Shuts down gracefully."""
 
 
 @dataclass(frozen=True)
@@ -43,12 +43,12 @@
     with_parent: bool
 
     def logger(self) -> Any:
-        """The structured log of the server, on standard error."""
+        """Returns the server's structured logger, which writes to standard error."""
         return log.to_stream(sys.stderr.buffer, self.log_level)
 
 
 def server_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Adds the options of all servers to a command, which gets them as its first argument."""
+    """Adds the common options to a command, which gets them as its first argument."""
 
     @functools.wraps(command)
     def with_options(
@@ -69,8 +69,10 @@
             "--deployment", "file", type=click.Path(), default=str(EXAMPLE), show_default="the example"
         ),
         click.option("--listen", type=AddressParameter(), default="127.0.0.1:0", show_default=True),
-        click.option("--seed", type=int, help="all of its chance; must differ at every start"),
-        click.option("--records", type=click.Path(), help="write what its sockets see to this file"),
+        click.option("--seed", type=int, help="seed of its random numbers; must differ at every start"),
+        click.option(
+            "--records", type=click.Path(), help="record what passes through its sockets in this file"
+        ),
         click.option("--log-level", type=LEVELS, default="info", show_default=True),
         click.option("--with-parent", is_flag=True, help="end when standard input closes"),
     ):
@@ -79,11 +81,13 @@
 
 
 def open_recorder(path: str | None, loop: asyncio.AbstractEventLoop) -> Callable[..., None]:
-    """A function that appends a row to the recording; each row whole and at once, so that a kill costs none.
+    """Returns a function that appends a row to the recording.
+
+    Each row is written whole and unbuffered, so that a kill loses none.
 
     Args:
         path: The recording's file; None: rows are dropped.
-        loop: Whose clock the rows' times are taken from.
+        loop: Its clock gives the rows' times.
     """
     if path is None:
         return lambda kind, **fields: None
@@ -98,17 +102,17 @@
 async def serve(
     server: Server, options: ServerOptions, supervisor: Supervisor | None = None, **announced: Any
 ) -> None:
-    """Opens a server, prints where it listens, and closes it on SIGTERM, SIGINT or its parent's end.
+    """Opens a server, prints its port, and closes it on SIGTERM, SIGINT or when its parent ends.
 
     Args:
-        server: What is opened and closed.
-        options: Where it listens, and whether it ends with its parent.
-        supervisor: The server's tasks, where one may fail that it must not go on without.
-        announced: Further fields of the line that is printed.
+        server: The server to run.
+        options: Its address, and whether it ends with its parent.
+        supervisor: Of the server's tasks, if it has essential ones.
+        announced: Additional fields of the printed line.
 
     Raises:
-        click.ClickException: The address can't be listened on.
-        SystemExit: A task failed without which the server must not go on; with EXIT_TASK_FAILED.
+        click.ClickException: The server cannot listen on the address.
+        SystemExit: An essential task failed; the code is EXIT_TASK_FAILED.
     """
     loop, ended = asyncio.get_running_loop(), asyncio.Event()
     failed_tasks: list[str] = []
@@ -126,7 +130,7 @@
     try:
         bound_port = await server.open(host, port)
     except OSError as error:
-        raise click.ClickException(f"cannot listen at {host}:{port}: {error.strerror}") from error
+        raise click.ClickException(f"cannot listen on {host}:{port}: {error.strerror}") from error
     click.echo(orjson.dumps({"port": bound_port, **announced}))
     await ended.wait()
     await server.close()
@@ -137,7 +141,7 @@
 
 
 async def _watch_parent(ended: asyncio.Event) -> asyncio.Task:
-    """Sets the event once standard input closes, which the parent holds open."""
+    """Sets the event when standard input, which the parent holds open, closes."""
     loop, reader = asyncio.get_running_loop(), asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     watch = loop.create_task(reader.read(1))
