--- a/benchmarks/buffer.py
+++ b/benchmarks/buffer.py
@@ -1,9 +1,9 @@
-"""What the write-back buffer does for filing and to live reads, on the virtual clock, off and on in one run.
+"""Compares file writes, streams and concurrent reads with the write-back buffer off and on.
 
     python benchmarks/buffer.py [--seeds 5]
 
-Four nodes of two cores, 15 ms of a core for a unit, two edges.  Times are simulated and mean nothing but
-against each other.
+Four nodes of two cores, 15 ms of a core for one unit of work, two edges.  Times are simulated, and
+comparable only with each other.
 """
 
 import argparse
@@ -20,93 +20,93 @@
 from rushmux.standins.client import StatusError
 
 EXAMPLE = json.loads(Path(deployment.__file__).with_name("example.json").read_text())
-UNIT = 0.015  # seconds of a core
-SETTLE_TIME = 5  # seconds after a workload in which what is buffered is flushed
-DESKS, DOCUMENTS = 8, 30  # writers of small files, and files of each
-DOCUMENT_BYTES = (2_000, 8_000)  # least and first that is too large
-DOCUMENT_RATE = 5  # documents a second that a desk files between two of its waits
+UNIT_TIME = 0.015  # core seconds for one unit of work
+SETTLE_TIME = 5  # seconds after a workload, for the buffer to be flushed
+WRITERS, FILES_PER_WRITER = 8, 30  # writers of small files, and files per writer
+FILE_BYTES = (2_000, 8_000)  # bounds of a size, the upper one exclusive
+FILE_RATE = 5  # a writer waits 1 / FILE_RATE seconds between files on average
 STREAMS, STREAM_BYTES = 4, 2 << 20
 STREAM_WRITES = (4_096, 16_384, 65_536)  # bytes of a write
-RATE = 40  # reads, and writes to each folder, a second
+RATE = 40  # reads, and writes to each folder, per second
 READ_BYTES, WRITE_BYTES = 20_000, 8_192
 READ_TIME = 10  # seconds of reads
-MS = 1_000
+MS_PER_SECOND = 1_000
 
 
-def percentile(times, part):
-    """Milliseconds that a part of the times keeps within."""
-    return sorted(times)[int(part * (len(times) - 1))] * MS
+def percentile(times, fraction):
+    """Returns a quantile of the times, in milliseconds."""
+    return sorted(times)[int(fraction * (len(times) - 1))] * MS_PER_SECOND
 
 
 class Run:
-    """One workload with the buffer off or on.
+    """Runs a workload with the buffer off or on.
 
     Attributes:
         times: Seconds of the calls that succeeded, by kind.
-        rejected: Calls that did not.
-        operations: Operations on nodes; `writes` and `changes` are parts of them.
-        counters: What the buffer of the first edge did, if it is on.
+        rejected: Number of calls that failed.
+        operations: Number of operations on nodes, including `writes` and `changes`.
+        counters: Counters of the first edge's buffer, if it is on.
     """
 
     def __init__(self, buffer_on, seed, workload):
         raw = copy.deepcopy(EXAMPLE)
         if buffer_on:
             raw["buffer"] = {}
-        self.times, self.rejected, self.chance = {}, 0, random.Random(seed)
+        self.times, self.rejected, self.rng = {}, 0, random.Random(seed)
 
-        async def story(fleet):
+        async def scenario(fleet):
             self.loop = fleet.loop
             await workload(self, fleet)
             await fleet.sleep(SETTLE_TIME)
             if buffer_on:
                 self.counters = fleet.edges[0].program.buffer.counters
 
-        fleet, _ = fleets.play(deployment.build(raw), seed, story, nodes=4, edges=2, unit=UNIT)
+        fleet, _ = fleets.play(deployment.build(raw), seed, scenario, nodes=4, edges=2, unit=UNIT_TIME)
         rows = [row for row in fleet.records if row["kind"] == "execution" and row["what"] != "drop"]
         self.operations = len(rows)
         self.writes = sum(row["what"] == "write" for row in rows)
         self.changes = sum(row["what"] == "change" for row in rows)
 
     async def timed(self, kind, call):
-        """Waits for a call and notes how long it took."""
-        begun = self.loop.time()
+        """Waits for a call and records its duration."""
+        started_at = self.loop.time()
         try:
             await call
         except StatusError:
             self.rejected += 1
             return
-        self.add_time(kind, begun)
+        self.add_time(kind, started_at)
 
-    def add_time(self, kind, begun):
-        """Notes that something that began at a time of the loop's clock is done."""
-        self.times.setdefault(kind, []).append(self.loop.time() - begun)
+    def add_time(self, kind, started_at):
+        """Records the time since `started_at` by the loop's clock."""
+        self.times.setdefault(kind, []).append(self.loop.time() - started_at)
 
 
 async def small_files(run, fleet):
-    """Desks file documents, each one after the other."""
+    """Several clients write small files, each client one after the other."""
 
-    async def desk(number):
+    async def writer(number):
         client = await fleet.client(0)
-        for place in range(DOCUMENTS):
-            size = run.chance.randrange(*DOCUMENT_BYTES)
-            await run.timed("file", client.put(f"/heredia/{number}-{place}", bytes(size)))
-            await asyncio.sleep(run.chance.expovariate(DOCUMENT_RATE))
+        for index in range(FILES_PER_WRITER):
+            size = run.rng.randrange(*FILE_BYTES)
+            await run.timed("file", client.put(f"/heredia/{number}-{index}", bytes(size)))
+            await asyncio.sleep(run.rng.expovariate(FILE_RATE))
 
-    await asyncio.gather(*(desk(number) for number in range(DESKS)))
+    await asyncio.gather(*(writer(number) for number in range(WRITERS)))
 
 
 def streams(write_bytes):
-    """Clients write a long file each, one write at a time, and close it."""
+    """Returns a workload in which clients write one long file each, one write at a time."""
 
     async def workload(run, fleet):
         async def stream(number):
             client = await fleet.client(0)
             handle = await client.open(f"/heredia/s{number}", sftp.WRITE | sftp.CREATE)
-            begun = fleet.loop.time()
+            started_at = fleet.loop.time()
             for offset in range(0, STREAM_BYTES, write_bytes):
                 await run.timed("write", client.ask(sftp.Write, handle, offset, bytes(write_bytes)))
             await run.timed("close", client.ask(sftp.Close, handle))
-            run.add_time("whole", begun)
+            run.add_time("whole", started_at)
 
         await asyncio.gather(*(stream(number) for number in range(STREAMS)))
 
@@ -114,14 +114,14 @@
 
 
 async def reads(run, fleet, folders_written):
-    """Reads of one folder, while streams are written to others."""
+    """Reads from one folder, while streams are written to others."""
     reader = await fleet.client(0)
     await reader.put("/limon/read", bytes(READ_BYTES))
     handle = await reader.open("/limon/read", sftp.READ)
     until = fleet.loop.time() + READ_TIME
     tasks = [asyncio.ensure_future(write_until(run, fleet, folder, until)) for folder in folders_written]
     while fleet.loop.time() < until:
-        await asyncio.sleep(run.chance.expovariate(RATE))
+        await asyncio.sleep(run.rng.expovariate(RATE))
         call = run.timed("read", reader.ask(sftp.Read, handle, 0, READ_BYTES))
         tasks.append(asyncio.ensure_future(call))
     await asyncio.gather(*tasks)
@@ -135,21 +135,21 @@
     while fleet.loop.time() < until:
         await run.timed("write", client.ask(sftp.Write, handle, offset, bytes(WRITE_BYTES)))
         offset += WRITE_BYTES
-        await asyncio.sleep(run.chance.expovariate(RATE))
+        await asyncio.sleep(run.rng.expovariate(RATE))
 
 
 async def reads_alone(run, fleet):
-    """Reads of one folder while nobody writes."""
+    """Reads from one folder without concurrent writes."""
     await reads(run, fleet, ())
 
 
 async def reads_beside_writes(run, fleet):
-    """Reads of one folder while two others are written to."""
+    """Reads from one folder while two others are written to."""
     await reads(run, fleet, ("heredia", "golfo"))
 
 
 def report(title, kinds, seeds, workload):
-    """Prints the times and operations of a workload, with the buffer off and on."""
+    """Prints the times and operations of a workload with the buffer off and on."""
     print(f"\n{title}")
     for buffer_on in (False, True):
         runs = [Run(buffer_on, seed, workload) for seed in seeds]
@@ -171,16 +171,16 @@
 
 
 def median(runs, name):
-    """The median of an attribute."""
+    """Returns the median of an attribute over the runs."""
     return int(statistics.median(getattr(run, name) for run in runs))
 
 
 def main():
-    """Prints all workloads."""
+    """Runs and prints all workloads."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=5)
     seeds = range(1, parser.parse_args().seeds + 1)
-    report("240 small files by 8 desks", ("file",), seeds, small_files)
+    report("240 small files by 8 writers", ("file",), seeds, small_files)
     for write_bytes in STREAM_WRITES:
         report(
             f"4 streams of 2 MiB in {write_bytes // 1024} KiB writes",
@@ -189,7 +189,7 @@
             streams(write_bytes),
         )
     report("40 reads a second alone", ("read",), seeds, reads_alone)
-    report("40 reads a second beside filing", ("read", "write"), seeds, reads_beside_writes)
+    report("40 reads a second beside writes", ("read", "write"), seeds, reads_beside_writes)
 
 
 if __name__ == "__main__":
--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -1,10 +1,10 @@
-"""The emulated machine against the stand-in node process: the same operations at both, times compared.
+"""Compares response times of the emulated machine and of the stand-in node process.
 
     python -m benchmarks.calibration [--seconds S] [--seed N]
 
-A node process on loopback takes writes and reads of an open loop over a connection as an edge opens it; the
-emulated machine takes the same sizes at the same times on the lean clock.  Both draw their service
-times, so that distributions are compared (Kolmogorov-Smirnov), not single operations.
+A node process on loopback serves reads and writes of an open loop over connections as an edge opens them; the
+emulated machine serves the same sizes at the same times on a `TimerLoop`.  Both draw their service times, so
+the distributions are compared (Kolmogorov-Smirnov), not single operations.
 """
 
 import argparse
@@ -27,50 +27,50 @@
 from rushmux.scheduling.interface import AttemptResult
 from rushmux.standins.service_model import ServiceModel, Shape
 
-UNIT, CORES, ROOM = 0.01, 2, 40  # of the machine: seconds of a core for a unit, cores, waiting room
-BYTES = 4_096  # of an object: little, so that moving it is no work of its own
+UNIT_TIME, CORES, QUEUE_LENGTH = 0.01, 2, 40  # of the machine; UNIT_TIME: core seconds per unit
+OBJECT_BYTES = 4_096  # small, so that its transfer takes no notable time
 LOADS = (0.3, 0.6, 0.85, 1.2)
-WRITES = 0.3
-TIME_OUT = 30_000  # ticks
+WRITE_FRACTION = 0.3  # of the operations
+ATTEMPT_TIMEOUT = 30_000  # ticks
 
 
-def drawn(load, seconds, seed):
-    """Operations as (at, units, key, writes)."""
-    chance = random.Random(seed)
-    at, found = 0.0, []
+def draw_operations(load, seconds, seed):
+    """Returns operations as (at, units, key, is_write)."""
+    rng = random.Random(seed)
+    at, operations = 0.0, []
     mean = 1.6
     while at < seconds:
-        at += chance.expovariate(load * CORES / UNIT / mean)
-        units = max(1.0, round(chance.lognormvariate(-0.1, 0.6) * mean, 1))
-        found.append(
-            (at, min(8.0, units), f"k{min(40, int(chance.paretovariate(0.8)))}", chance.random() < WRITES)
+        at += rng.expovariate(load * CORES / UNIT_TIME / mean)
+        units = max(1.0, round(rng.lognormvariate(-0.1, 0.6) * mean, 1))
+        operations.append(
+            (at, min(8.0, units), f"k{min(40, int(rng.paretovariate(0.8)))}", rng.random() < WRITE_FRACTION)
         )
-    return found
+    return operations
 
 
-def emulated(operations, seed):
-    """Answer times at the emulated machine, None where it turned one away."""
-    clock, chance, times = TimerLoop(), random.Random(f"{seed}/ways"), [None] * len(operations)
+def run_emulated(operations, seed):
+    """Returns the emulated machine's response times; None for a rejected operation."""
+    clock, rng, times = TimerLoop(), random.Random(f"{seed}/ways"), [None] * len(operations)
     model = ServiceModel(
-        Shape(cores=CORES, unit=UNIT, room=ROOM), random.Random(seed), False, lambda: None, clock
+        Shape(cores=CORES, unit=UNIT_TIME, room=QUEUE_LENGTH), random.Random(seed), False, lambda: None, clock
     )
 
-    def arrive(number, sent, units, key, writes):
+    def arrive(number, sent, units, key, is_write):
         def done(late):
-            back = clock.time() + chance.uniform(*IN_ZONE_DELAY)
+            received = clock.time() + rng.uniform(*IN_ZONE_DELAY)
             if not late:
-                times[number] = back - sent
+                times[number] = received - sent
 
-        model.submit(units, "" if writes else key, writes, TIME_OUT / 10_000, done)
+        model.submit(units, "" if is_write else key, is_write, ATTEMPT_TIMEOUT / 10_000, done)
 
-    for number, (at, units, key, writes) in enumerate(operations):
-        clock.call_at(1.0 + at + chance.uniform(*IN_ZONE_DELAY), arrive, number, 1.0 + at, units, key, writes)
+    for number, (at, units, key, is_write) in enumerate(operations):
+        clock.call_at(1.0 + at + rng.uniform(*IN_ZONE_DELAY), arrive, number, 1.0 + at, units, key, is_write)
     clock.run(1.0 + operations[-1][0] + 20)
     return times
 
 
-async def real(operations, seed, folder):
-    """The same at a node process."""
+async def run_process(operations, seed, folder):
+    """Returns the same for a node process."""
     node = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -84,7 +84,7 @@
         "127.0.0.1:9",
         "--warm",
         "--unit",
-        str(UNIT),
+        str(UNIT_TIME),
         "--cores",
         str(CORES),
         "--data",
@@ -108,24 +108,24 @@
             log=to_list([], "error"),
         )
         connections.set_address("n0", Address("127.0.0.1", port))
-        data = b"x" * BYTES
+        data = b"x" * OBJECT_BYTES
         first = loop.create_future()
-        connections.send("n0", execute(0, 1.0, "", data), lambda result, _: first.set_result(result))
+        connections.send("n0", execute_message(0, 1.0, "", data), lambda result, _: first.set_result(result))
         assert await first == AttemptResult.SUCCEEDED
-        begun = loop.time()
+        started_at = loop.time()
 
-        def came(number, due, result, _):
+        def on_result(number, due, result, _):
             if result == AttemptResult.SUCCEEDED:
                 times[number] = loop.time() - due
 
-        for number, (at, units, key, writes) in enumerate(operations):
-            due = begun + at
+        for number, (at, units, key, is_write) in enumerate(operations):
+            due = started_at + at
             if due > loop.time():
                 await asyncio.sleep(due - loop.time())
             connections.send(
                 "n0",
-                execute(number + 1, units, "" if writes else key, data if writes else None),
-                lambda result, outcome, number=number, due=due: came(number, due, result, outcome),
+                execute_message(number + 1, units, "" if is_write else key, data if is_write else None),
+                lambda result, outcome, number=number, due=due: on_result(number, due, result, outcome),
             )
         await asyncio.sleep(3.0)
         await connections.close()
@@ -136,8 +136,8 @@
         await node.wait()
 
 
-def execute(number, units, key, data):
-    """The message of an attempt: a write of `data`, or a read where there is none."""
+def execute_message(number, units, key, data):
+    """Returns the message of an attempt: a write of `data`, or a read if it is None."""
     message = messages.Execute(
         op=f"edge0.1.{number}/-",
         execution=0,
@@ -145,41 +145,41 @@
         lane="lectura",
         key=key,
         units=units,
-        time_out=TIME_OUT,
+        time_out=ATTEMPT_TIMEOUT,
     )
     if data is not None:
         message.write.CopyFrom(messages.WriteObject(object=f"o{number}", data=data, crc=zlib.crc32(data)))
     else:
-        message.read.CopyFrom(messages.ReadObject(object="o0", offset=0, length=BYTES))
+        message.read.CopyFrom(messages.ReadObject(object="o0", offset=0, length=OBJECT_BYTES))
     return message
 
 
 def main():
     """Runs the benchmark and prints its table."""
-    asked = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    asked.add_argument("--seconds", type=float, default=20.0)
-    asked.add_argument("--seed", type=int, default=1)
-    wanted = asked.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--seconds", type=float, default=20.0)
+    parser.add_argument("--seed", type=int, default=1)
+    options = parser.parse_args()
     print(
         f"{'load':>5}{'operations':>12}{'':>12}{'p50 ms':>9}{'p90':>9}{'p99':>9}{'turned away':>13}"
         f"{'KS distance':>13}{'chance':>9}"
     )
     for load in LOADS:
-        operations = drawn(load, wanted.seconds, wanted.seed)
+        operations = draw_operations(load, options.seconds, options.seed)
         with tempfile.TemporaryDirectory() as folder:
             times = {
-                "process": asyncio.run(real(operations, wanted.seed, Path(folder))),
-                "emulated": emulated(operations, wanted.seed + 1),
+                "process": asyncio.run(run_process(operations, options.seed, Path(folder))),
+                "emulated": run_emulated(operations, options.seed + 1),
             }
-        good = {name: [time for time in found if time is not None] for name, found in times.items()}
-        # Neighbouring times hang together; every so many are taken as if they did not.
-        apart = max(1, len(operations) // 300)
-        test = stats.ks_2samp(good["process"][::apart], good["emulated"][::apart])
-        for name, found in good.items():
-            p50, p90, p99 = (1000 * numpy.quantile(found, part) for part in (0.5, 0.9, 0.99))
+        succeeded = {name: [time for time in sample if time is not None] for name, sample in times.items()}
+        # Consecutive times are correlated, and the test assumes independent ones: it gets every n-th.
+        stride = max(1, len(operations) // 300)
+        test = stats.ks_2samp(succeeded["process"][::stride], succeeded["emulated"][::stride])
+        for name, sample in succeeded.items():
+            p50, p90, p99 = (1000 * numpy.quantile(sample, fraction) for fraction in (0.5, 0.9, 0.99))
             print(
                 f"{load:5}{len(operations):12}{name:>12}{p50:9.1f}{p90:9.1f}{p99:9.1f}"
-                f"{1 - len(found) / len(operations):13.4f}"
+                f"{1 - len(sample) / len(operations):13.4f}"
                 + (f"{test.statistic:13.3f}{test.pvalue:9.3f}" if name == "emulated" else "")
             )
 
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -1,9 +1,9 @@
-"""Second copies of new objects, off and on in the same troubles: tail, extra executions, budget.
+"""Compares hedged requests for new objects, off and on under the same faults: latency and extra executions.
 
     python -m benchmarks.copies [--seeds N] [--seconds S]
 
-On the virtual clock: three edges store objects on six nodes while one node is slow, one is silent, or
-all are asked for more than they can do.  Both variants meet the same seeds.
+On a virtual clock: three edges store objects on six nodes while one node is slow, one is silent, or the load
+exceeds their capacity.  Both variants run the same seeds.
 """
 
 import argparse
@@ -22,9 +22,9 @@
 from rushmux.standins.checker import Checker
 
 EXAMPLE = json.loads(Path(deployments.__file__).with_name("example.json").read_text())
-SIZE = 20_000  # bytes of an object: one unit
-WAY = 0.005  # seconds: longest simulated way of a message
-CASES = {  # name -> objects a second of each edge, troubles as (node, kind, size)
+OBJECT_BYTES = 20_000  # one unit
+NETWORK_DELAY = 0.005  # seconds, maximum
+CASES = {  # name -> objects per second and edge, faults as (node, kind, size)
     "calm": (20, ()),
     "slow node": (20, (("node1", "slow", 12.0),)),
     "silent node": (20, (("node1", "silent", 0.0),)),
@@ -35,63 +35,66 @@
 
 
 def deployment(copies: bool):
-    """The example with or without hedged requests."""
+    """Returns the example deployment with or without hedged requests."""
     raw = copy.deepcopy(EXAMPLE)
     raw["fleet"]["second_copies"] = copies
     raw["routes"] = [{"lane": "archivo-nuevo", "second_copy": {"after_ms": 40}}] if copies else []
-    # All folders alike: what is looked at is the lane, not the plans' limits.
+    # The request class is measured, not the plans' limits: all folders are alike without them.
     raw["plans"]["basico"].update(limit=0)
     return deployments.build(raw)
 
 
-def played(case, copies, seed, seconds):
-    """Times of all objects (a failure counts as the hard stop), and the fleet's recordings."""
-    rate, troubles = CASES[case]
-    stated = deployment(copies)
-    hard_stop = stated.settings.request_classes["archivo-nuevo"].deadline / 10_000
-    times, ends = [], Counter()
+def run_seed(case, copies, seed, seconds):
+    """Returns times of all objects, outcomes, recordings and the deployment.
+
+    A failed object counts with the time of its hard stop.
+    """
+    rate, faults = CASES[case]
+    built = deployment(copies)
+    hard_stop = built.settings.request_classes["archivo-nuevo"].deadline / 10_000
+    times, outcomes = [], Counter()
 
     async def store(fleet, edge, folder):
-        begun = fleet.loop.time()
+        started_at = fleet.loop.time()
         try:
-            await OperationRunner(edge.program.driver, folder, "-", begun + hard_stop).write_object(
-                b"x" * SIZE
+            await OperationRunner(edge.program.driver, folder, "-", started_at + hard_stop).write_object(
+                b"x" * OBJECT_BYTES
             )
-            times.append(fleet.loop.time() - begun)
-            ends["stored"] += 1
-        except (OperationShedError, OperationFailedError) as fault:
+            times.append(fleet.loop.time() - started_at)
+            outcomes["stored"] += 1
+        except (OperationShedError, OperationFailedError) as error:
             times.append(hard_stop)
-            ends["shed" if isinstance(fault, OperationShedError) else "terminated"] += 1
+            outcomes["shed" if isinstance(error, OperationShedError) else "terminated"] += 1
 
-    async def story(fleet):
-        chance, names = random.Random(seed), list(stated.folders)
-        for node, kind, size in troubles:
+    async def scenario(fleet):
+        rng, names = random.Random(seed), list(built.folders)
+        for node, kind, size in faults:
             await fleet.inject_fault(node, kind, size)
 
         async def arrivals(edge):
-            until, tasks = fleet.loop.time() + seconds, []
-            while fleet.loop.time() < until:
-                await asyncio.sleep(chance.expovariate(rate))
-                tasks.append(edge.process.spawn(store(fleet, edge, chance.choice(names))))
+            end_at, tasks = fleet.loop.time() + seconds, []
+            while fleet.loop.time() < end_at:
+                await asyncio.sleep(rng.expovariate(rate))
+                tasks.append(edge.process.spawn(store(fleet, edge, rng.choice(names))))
             await asyncio.gather(*tasks)
 
         await asyncio.gather(*(arrivals(edge) for edge in fleet.edges.values()))
 
-    fleet, _ = fleets.play(stated, seed, story, nodes=6, edges=3, level="error")
-    return times, ends, fleet.all_records(), stated
+    fleet, _ = fleets.play(built, seed, scenario, nodes=6, edges=3, level="error")
+    return times, outcomes, fleet.all_records(), built
 
 
-def quantile(times, part):
-    """The time that a part of the times do not exceed."""
-    return sorted(times)[min(len(times) - 1, int(part * len(times)))]
+def quantile(times, fraction):
+    """Returns a quantile of the times."""
+    return sorted(times)[min(len(times) - 1, int(fraction * len(times)))]
 
 
 def main():
     """Runs the benchmark and prints its table."""
-    asked = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    asked.add_argument("--seeds", type=int, default=5)
-    asked.add_argument("--seconds", type=float, default=30.0)
-    wanted = asked.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--seeds", type=int, default=5)
+    parser.add_argument("--seconds", type=float, default=30.0)
+    options = parser.parse_args()
     print(
         f"{'case':18}{'copies':>7}{'objects':>9}{'stored':>8}{'in time':>9}{'p50 ms':>8}{'p99 ms':>8}"
         f"{'p99.9':>8}{'further':>9}{'withdrawn':>10}  rules"
@@ -99,22 +102,24 @@
     broken = False
     for case in CASES:
         for copies in (False, True):
-            times, ends, further, executions, withdrawn, breaches = [], Counter(), 0, 0, 0, []
-            for seed in range(wanted.seeds):
-                some, more, records, stated = played(case, copies, seed, wanted.seconds)
-                times += some
-                ends += more
+            times, outcomes, extra_executions, executions, withdrawn, breaches = [], Counter(), 0, 0, 0, []
+            for seed in range(options.seeds):
+                seed_times, seed_outcomes, records, built = run_seed(case, copies, seed, options.seconds)
+                times += seed_times
+                outcomes += seed_outcomes
                 executions += sum(row["kind"] == "execution" for row in records)
-                further += sum(row["kind"] == "execution" and row["execution"] > 0 for row in records)
+                extra_executions += sum(
+                    row["kind"] == "execution" and row["execution"] > 0 for row in records
+                )
                 withdrawn += sum(row["kind"] == "withdrawn" for row in records)
-                breaches += Checker(records, stated, WAY).breaches()
-            quoted = stated.settings.request_classes["archivo-nuevo"].latency_objective / 10_000
-            in_time = sum(time <= quoted for time in times) / len(times)
+                breaches += Checker(records, built, NETWORK_DELAY).breaches()
+            objective = built.settings.request_classes["archivo-nuevo"].latency_objective / 10_000
+            in_time = sum(time <= objective for time in times) / len(times)
             broken = broken or bool(breaches)
             print(
-                f"{case:18}{'on' if copies else 'off':>7}{len(times):9}{ends['stored'] / len(times):8.3f}"
+                f"{case:18}{'on' if copies else 'off':>7}{len(times):9}{outcomes['stored'] / len(times):8.3f}"
                 f"{in_time:9.3f}{1000 * quantile(times, 0.5):8.0f}{1000 * quantile(times, 0.99):8.0f}"
-                f"{1000 * quantile(times, 0.999):8.0f}{further / executions:9.4f}{withdrawn:10}  "
+                f"{1000 * quantile(times, 0.999):8.0f}{extra_executions / executions:9.4f}{withdrawn:10}  "
                 f"{'kept' if not breaches else breaches[0]}"
             )
     sys.exit(broken)
--- a/benchmarks/extents.py
+++ b/benchmarks/extents.py
@@ -1,4 +1,4 @@
-"""The extent index against a plain list and a library's interval tree, at 10^3 to 10^6 extents.
+"""Compares the extent index with a plain list and a library's interval tree, at 10^3 to 10^6 extents.
 
 pip install intervaltree; python benchmarks/extents.py [--most 1000000]
 """
@@ -15,30 +15,30 @@
 
 DATA = bytes(64)
 SPACING = 100  # bytes between the starts of two extents
-RANGE = 1_000  # bytes of a range that is looked up
-CALLS = 300  # timed of each kind
+RANGE = 1_000  # bytes of a lookup
+CALLS = 300  # timed calls of each kind
 MICROSECONDS = 1e6
-SMALLEST, GROWTH = 1_000, 10  # extents of the first size, and factor to the next
+SMALLEST, GROWTH = 1_000, 10  # extents in the first run, and the factor to the next
 
 
 class IntervalTreeIndex:
-    """A library's interval tree with the methods of the extent index."""
+    """Adapts a library's interval tree to the methods of the extent index."""
 
     def __init__(self):
         self.tree = IntervalTree()
 
     def insert(self, start, data, sequence):
-        """Puts a write over what is there."""
+        """Inserts a write over older extents."""
         self.tree.chop(start, start + len(data))
         self.tree.addi(start, start + len(data), (sequence, data))
 
     def overlapping(self, start, end):
-        """The extents that overlap a range."""
+        """Returns the extents that overlap a range."""
         return sorted(self.tree.overlap(start, end))
 
 
 class Timings(NamedTuple):
-    """Microseconds of a call, each the mean of many."""
+    """Mean microseconds of a call."""
 
     fill: float
     insert: float
@@ -46,33 +46,33 @@
 
 
 def mean_time(calls):
-    """Microseconds that a call takes."""
-    begun = time.perf_counter()
+    """Returns the mean microseconds of a call."""
+    started_at = time.perf_counter()
     for call in calls:
         call()
-    return (time.perf_counter() - begun) / len(calls) * MICROSECONDS
+    return (time.perf_counter() - started_at) / len(calls) * MICROSECONDS
 
 
 def fill(index, starts):
-    """Inserts an extent at each of the offsets."""
+    """Inserts an extent at each offset."""
     for sequence, start in enumerate(starts):
         index.insert(start, DATA, sequence)
     return index
 
 
-def measure(index_type, size, chance):
-    """The timings of an index with `size` extents."""
+def measure(index_type, size, rng):
+    """Measures an index with `size` extents."""
     index, space = index_type(), size * SPACING
     starts = list(range(0, space, SPACING))
-    chance.shuffle(starts)
-    if index_type is LinearExtentIndex:  # filled in order at once: one by one would take hours
+    rng.shuffle(starts)
+    if index_type is LinearExtentIndex:  # copied from a sorted index: single inserts would take hours
         index.extents = list(fill(ExtentIndex(), sorted(starts)))
         fill_time = float("nan")
     else:
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         fill(index, starts)
-        fill_time = (time.perf_counter() - begun) / size * MICROSECONDS
-    writes = [(chance.randrange(space), size + place) for place in range(CALLS)]
+        fill_time = (time.perf_counter() - started_at) / size * MICROSECONDS
+    writes = [(rng.randrange(space), size + call) for call in range(CALLS)]
     insert_time = mean_time(
         [lambda at=at, number=number: index.insert(at, DATA, number) for at, number in writes]
     )
@@ -84,11 +84,11 @@
     """Prints a row for each size and index."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--most", type=int, default=1_000_000)
-    most = parser.parse_args().most
+    max_extents = parser.parse_args().most
     header = f"{'extents':>9} {'index':17} {'fill, each':>12} {'insert':>12} {'look up 1,000 B':>15}"
     print(f"{header}  microseconds")
     size = SMALLEST
-    while size <= most:
+    while size <= max_extents:
         for index_type in (ExtentIndex, LinearExtentIndex, IntervalTreeIndex):
             timings = measure(index_type, size, random.Random(1))
             print(
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,4 +1,4 @@
-"""What the platform's gateway costs by the size of its endpoint list: scheduler rounds, and the process.
+"""Measures the platform gateway by the size of its endpoint list: scheduler rounds, startup and memory.
 
 python -m benchmarks.members
 """
@@ -30,52 +30,52 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 SIZES = 64, 256, 1_024
-"""Nodes, shards and gateways."""
+"""Numbers of nodes, which are also those of shards and of gateways."""
 OPERATIONS = 2_000
-"""Of each case."""
+"""Operations of each case."""
 VOLUMES = 50
 OPERATION_INTERVAL = 20
 """Ticks between two operations."""
 WARM_UP_TIME = 300_000
-"""Ticks for which a node is in slow start: all operations of a case."""
+"""Ticks for which a node is in slow start, longer than a case."""
 START = 10_000
-"""Ticks at which a case begins."""
+"""Time in ticks at which a case begins."""
 OPERATION_TIME_LEFT = 10_000
-"""Ticks."""
+"""Ticks until an operation's deadline."""
 PORT = 27_381
 LIST_TIME = 1.0
-"""Seconds in which discovery's list comes, too."""
+"""Seconds to wait for the list from discovery."""
 CONNECT_INTERVAL = 0.01
 """Seconds between two attempts to connect."""
 KIB_PER_MB = 1024
 
 
 class SchedulerCost(NamedTuple):
-    """What a case of the scheduler took."""
+    """Cost of the scheduler in one case."""
 
     is_slow_start: bool
     list_ms: float
     median_us: float
-    """Of an operation's two rounds."""
+    """Microseconds for an operation's two rounds."""
     p99_us: float
 
 
 class ProcessCost(NamedTuple):
-    """What a process took."""
+    """Cost of a gateway process."""
 
     ready_s: float
-    """Until the first PONG."""
+    """Seconds until the first PONG."""
     peak_mb: float
 
 
 class RecordingActions:
-    """Takes the scheduler's actions; only started attempts are kept."""
+    """Records the attempts that the scheduler starts, and ignores its other actions."""
 
     def __init__(self):
         self.started: list[str] = []
 
     def start_attempt(self, op_id: str, node: str, timeout: int) -> None:
-        """Keeps the operation's id."""
+        """Records the operation's id."""
         self.started.append(op_id)
 
     def __getattr__(self, name):
@@ -83,7 +83,7 @@
 
 
 def measure_scheduler(size: int) -> Iterator[SchedulerCost]:
-    """Yields the cost with nodes that have warmed up and with nodes in slow start."""
+    """Yields the cost with warmed-up nodes, then with nodes in slow start."""
     scheduler_settings = scheduler_settings_of(settings(gateways=size, shards=size))._replace(
         warm_up_time=WARM_UP_TIME, slow_start_units=200 * size
     )
@@ -94,21 +94,21 @@
         endpoints = [
             Endpoint(f"s{number}", number, "a", EndpointState.READY, online_since) for number in range(size)
         ]
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         scheduler.on_endpoints(START, UpdateKind.SNAPSHOT, endpoints)
         scheduler.run_round(START)
-        list_time = time.perf_counter() - begun
+        list_time = time.perf_counter() - started_at
         times = sorted(_operation_times(scheduler, actions, size))
         median, p99 = times[OPERATIONS // 2], times[OPERATIONS * 99 // 100]
         yield SchedulerCost(is_slow_start, list_time * 1e3, median * 1e6, p99 * 1e6)
 
 
 def _operation_times(scheduler: Scheduler, actions: RecordingActions, size: int) -> Iterator[float]:
-    random, now = RandomGenerator(1), START
+    rng, now = RandomGenerator(1), START
     for number in range(OPERATIONS):
         now += OPERATION_INTERVAL
-        begun = time.perf_counter()
-        volume, key, cell = f"v{number % VOLUMES}", f"k{number}", random.below(size)
+        started_at = time.perf_counter()
+        volume, key, cell = f"v{number % VOLUMES}", f"k{number}", rng.below(size)
         request = OperationRequest(
             f"o{number}", "read", "base", volume, key, OPERATION_TIME_LEFT, 2, cell, 3, False
         )
@@ -119,11 +119,11 @@
             scheduler.on_attempt_result(now + 1, report)
         actions.started.clear()
         scheduler.run_round(now + 1)
-        yield time.perf_counter() - begun
+        yield time.perf_counter() - started_at
 
 
 async def measure_process(size: int) -> ProcessCost:
-    """Starts a process and measures it."""
+    """Starts a gateway process and measures it."""
     node, discovery, loop = FakeNode(), FakeDiscovery(), asyncio.get_running_loop()
     await node.open()
     await discovery.open()
@@ -132,7 +132,7 @@
         rows = list(discovery.rows.values())
         json.dump(configuration(discovery.port, rows, PORT, gateways=size, shards=size), file)
         file.flush()
-        begun = loop.time()
+        started_at = loop.time()
         process = subprocess.Popen(
             [sys.executable, "-m", "rushmux.gateway"],
             cwd=ROOT,
@@ -142,7 +142,7 @@
         try:
             client = await _connect()
             await client.request(b"PING")
-            ready = loop.time() - begun
+            ready = loop.time() - started_at
             await asyncio.sleep(LIST_TIME)
             status = Path(f"/proc/{process.pid}/status").read_text()
         finally:
@@ -162,7 +162,7 @@
 
 
 def main() -> None:
-    """Prints the costs of each size."""
+    """Prints the costs for each size."""
     for size in SIZES:
         for cost in measure_scheduler(size):
             print(
