--- a/rushmux/standins/checker.py
+++ b/rushmux/standins/checker.py
@@ -180,10 +180,7 @@
             rule.breach(f"{name}: no answer")
 
     def _excused_at(self, session: str) -> float:
-        """The time from which a session's answers may be missing.
-
-        They may be missing if the edge was killed or the client left, but not if the edge closed the session.
-        """
+        """When the edge was killed or the client left; an edge that closes a session owes its answers."""
         edge = session.split("/")[0]
         return min(self._edge_killed_at.get(edge, NEVER), self._session_left_at.get(session, NEVER))
 
@@ -309,7 +306,7 @@
     # Order kept.
 
     def _check_order(self, rule: _RuleCheck) -> None:
-        """Checks that an ordered request class runs one operation per key at a time, in the order taken."""
+        """Checks that ordered request classes run a key's operations one at a time, in the order taken."""
         by_key = defaultdict(list)
         for attempt in self.attempts:
             if self.settings.request_classes[attempt.row["lane"]].ordered and attempt.row["key"]:
--- a/rushmux/standins/policy_fleet.py
+++ b/rushmux/standins/policy_fleet.py
@@ -1,8 +1,7 @@
 """A fleet with several planners on the virtual clock, under random faults while its policy changes.
 
-It runs the production planners (with their logs in a real folder) and edges, and stand-ins for nodes and
-clients.  Runs are deterministic for a seed.  `policy_history_checker` checks the recordings, as it does those
-of real processes.
+It runs the production planners and edges, with their files in a real folder, and stand-ins for nodes and
+clients.  Runs are deterministic for a seed.  `policy_history_checker` checks the recordings.
 """
 
 import asyncio
@@ -30,10 +29,10 @@
 FAULT_TIME = 40.0
 """Seconds with faults and policy changes."""
 QUIET_TIME = 45.0
-"""Seconds without faults at the end: a change may have to wait for its timeout and for a lease to expire."""
+"""Seconds without faults at the end; a change may wait for its timeout and for a lease to expire."""
 START_TIMEOUT, POLL_INTERVAL = 60.0, 0.05
 MAX_RATES = (0.15, 0.1, 0.15, 0.1, 0.15)
-"""Highest rate per second of each fault, in the order of `FaultRates`."""
+"""Highest rates, in the order of `FaultRates`."""
 FAULT_CHANCE, REVERT_CHANCE, PARTITION_CHANCE = 0.7, 0.15, 0.3
 OBJECT_BYTES = 40_000
 MAX_ERRORS_SHOWN, MAX_ERROR_LENGTH = 3, 300
@@ -44,7 +43,7 @@
 
 
 class FaultRates(NamedTuple):
-    """Rate per second of each fault, over all planners or edges."""
+    """Rates per second, over all planners or edges."""
 
     planner_kills: float
     planner_pauses: float
@@ -98,7 +97,7 @@
         self.planners[name] = Part(process, program, port)
 
     def kill_planner_by_name(self, name):
-        """Kills a planner and closes its files, as the end of a process does."""
+        """Kills a planner and closes its files."""
         part = self.planners.pop(name)
         part.process.kill()
         part.program.replicated_log.storage.release()  # the kernel releases the lock of a dead process
@@ -211,7 +210,7 @@
                 self.paused[getattr(part.program, "name", "")] = True
 
     async def clients(self, until):
-        """For each edge, a client that writes files to a limited folder, one after another."""
+        """Runs a client of each edge that writes files to a limited folder, one after another."""
 
         async def write_files(number):
             count = 0
--- a/rushmux/standins/policy_history_checker.py
+++ b/rushmux/standins/policy_history_checker.py
@@ -218,11 +218,7 @@
 def _check_expected(
     name: str, answer: Row, outcomes: Mapping[int, str], expected: Sequence[str]
 ) -> list[str]:
-    """Checks the outcome of a change.
-
-    `expected` starts with the allowed outcomes, separated by `|`; a text that the answer has to contain may
-    follow.
-    """
+    """Checks a change; `expected`: its allowed outcomes, separated by `|`, and words of the answer."""
     wanted, *words = expected
     outcome = outcomes.get(answer["number"], answer["said"] or "no answer")
     if answer["said"].startswith("refused"):
--- a/rushmux/standins/policy_model_checker.py
+++ b/rushmux/standins/policy_model_checker.py
@@ -19,7 +19,7 @@
 
 
 def _joint(*names: str, planner: int = 1) -> tuple[str, ...]:
-    """The moves by which members persist the staged policy and report that they have (are joint)."""
+    """The moves by which members become joint: they persist the staged policy and report it."""
     return tuple(
         move
         for name in names
--- a/rushmux/standins/policy_simulation.py
+++ b/rushmux/standins/policy_simulation.py
@@ -13,7 +13,7 @@
 from rushmux.standins.raft_simulation import RaftSimulation
 from rushmux.standins.raft_simulation_member import SimulatedMember
 
-ABSENCE = 15.0  # seconds that an edge stays disconnected for a second change
+ABSENCE = 15.0  # seconds for which edges that are absent from a change stay disconnected
 FLOOR_DELAY = 0.2  # seconds until nodes know a fencing floor
 WAKE_DELAY = 0.001  # seconds; after a pause, a planner reads its sockets before its timers run
 ISOLATION_PROBABILITY = 0.5  # that some edge reaches only the paused planner
@@ -134,7 +134,7 @@
             self.check_limits()
 
     def _on_change_ended(self, command: dict[str, Any]) -> None:
-        # Targeted fault: edges absent from one change are absent from the next one too, which follows soon.
+        # Targeted: edges absent from one change are also absent from the next one, which follows soon.
         partial = command["kind"] == "decide" and len(command["joint"]) < len(self.edges.by_name)
         if partial and not self.healed:
             self.edges.keep_absent(command["joint"], ABSENCE)
--- a/rushmux/standins/policy_simulation_edges.py
+++ b/rushmux/standins/policy_simulation_edges.py
@@ -256,7 +256,7 @@
                 self.simulation.schedule(delay, self.request, edge, edge.incarnation)
 
     def keep_absent(self, joint: list[str], seconds: float) -> None:
-        """Targeted fault: edges absent from one change stay disconnected for the next one."""
+        """Targeted: edges absent from one change stay disconnected for the next one."""
         for edge in self.by_name.values():
             if edge.name not in joint and self.random.random() < TARGETED_PROBABILITY:
                 edge.disconnected_until = max(edge.disconnected_until, self.now + seconds)
--- a/tests/edge/test_checker.py
+++ b/tests/edge/test_checker.py
@@ -137,7 +137,7 @@
             change_record(1, 1.0, tag="-"),
             {"kind": "reset", "at": 1.1, "node": "n1"},
             change_record(2, 1.2, tag="-"),
-        ],  # without the pause after a reset
+        ],  # without the cooldown after a reset
     ],
     "budgets kept": [
         [
@@ -171,7 +171,7 @@
         change_record(1, 1.0, tag="-"),
         outcome_record(1.1, 1, code=2, tag="-"),
         change_record(1, 30.0, 1, cell=2, tag="-"),
-    ],  # the first attempt never ran
+    ],  # the node was busy: the first attempt did not run
     [listing_record(5.0, "draining"), execution_record(5.9, tag="-")],
     [listing_record(5.0, "gone"), listing_record(5.5, "ready"), execution_record(9.0, tag="-")],
     [NODE_START, *(execution_record(100.1, number, units=8.0, tag="-") for number in range(1, 11))],
--- a/tests/planner/test_hostile_messages.py
+++ b/tests/planner/test_hostile_messages.py
@@ -1,8 +1,8 @@
-"""Hostile messages on some connections do not affect the other connections of a fleet with three planners.
+"""Hostile messages do not affect other connections in a fleet with three planners.
 
-An error in a step of the replicated log ended the planner's ticks, and so its leadership.  Causes were an
-invalid quota request checked within the step, a failure to send a grant, a node's age that overflowed in the
-endpoint list, and an entry that was too long to be replicated.
+An error in a step of the replicated log ends the planner's ticks, and so its leadership.  Causes may be an
+invalid quota request checked within the step, a failure to send a grant, a node's age that overflows in the
+endpoint list, or an entry that is too long to be replicated.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 def raw_deployment():
-    """A deployment of two edges whose quotas a planner grants."""
+    """A deployment of two edges with quotas from the planners."""
     raw = fault_scenario.raw_deployment(fault_scenario.parse("edges 2\n"))
     raw["fleet"]["shares"] = True
     return raw
@@ -62,7 +62,7 @@
 
 
 async def send(address, data):
-    """Sends bytes on a new connection, and reads until it ends or two seconds have passed."""
+    """Sends bytes on a new connection, and reads until it ends, for at most two seconds."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(data)
     try:
@@ -75,7 +75,7 @@
 
 
 async def assert_serves(fleet, name):
-    """Asserts that the leader still leads, that a policy change reaches all, and that no connection ended."""
+    """Asserts that the leader still leads, a policy change reaches all, and no fleet connection ended."""
     assert leader(fleet) == name
     assert [
         row for row in fleet.logs if row["event"] == "peer.disconnected" and row["peer"].startswith(OWN_PEERS)
@@ -87,8 +87,8 @@
     await fleet.sleep(5)
     assert leader(fleet) == name
     for part in fleet.edges.values():
-        client = part.program.policy_client.member
-        assert client.active_version == 2 and not client.is_degraded(fleet.loop.time())
+        member = part.program.policy_client.member
+        assert member.active_version == 2 and not member.is_degraded(fleet.loop.time())
         assert part.program.quota_client.quotas.lease_expiry > fleet.loop.time()
     versions = {part.program.replicated_log.policy.active.version for part in fleet.planners.values()}
     assert versions == {2}
@@ -111,7 +111,7 @@
 
 
 def test_a_node_with_an_impossible_age_is_rejected(run_fleet):
-    """The age overflowed in the listing to all edges, so that no edge was notified of anything any more."""
+    """An age that overflows in the endpoint list would prevent all later updates to edges."""
 
     async def scenario(fleet):
         name = leader(fleet)
@@ -131,7 +131,7 @@
 
 
 def test_a_rejection_reason_that_fits_in_no_frame_does_not_stop_the_log(run_fleet):
-    """A member's reason made a log entry too long to be sent, so that nothing was committed any more."""
+    """A long reason could make a log entry too long to be sent, and nothing would be committed after it."""
 
     async def scenario(fleet):
         name = leader(fleet)
@@ -172,11 +172,11 @@
         raw = raw_deployment()
         raw["plans"]["basico"].update(limit=40.0, burst=80.0)
         command = {"text": documents.serialize(raw), "client": "c", "n": 1, "by": "b", **fields}
-        with pytest.raises(CommandRejectedError) as refusal:
+        with pytest.raises(CommandRejectedError) as rejection:
             answer = await admin_client.send_policy_command(fleet.places, command.pop("verb"), **command)
             raise CommandRejectedError(answer.said)
-        assert not isinstance(refusal.value, PlannerUnavailableError)
-        assert "is staged" not in str(refusal.value)
+        assert not isinstance(rejection.value, PlannerUnavailableError)
+        assert "is staged" not in str(rejection.value)
         await fleet.sleep(3)
         await assert_serves(fleet, name)
 
--- a/tests/planner/test_replicated_policy.py
+++ b/tests/planner/test_replicated_policy.py
@@ -1,4 +1,4 @@
-"""Three planners in a fleet on the virtual clock: changes of the policy, and faults."""
+"""Policy changes and faults in a fleet of three planners on the virtual clock."""
 
 import asyncio
 
@@ -37,10 +37,10 @@
     return run_scenario
 
 
-def propose(fleet, word, limit):
+def propose(fleet, label, limit):
     raw = fault_scenario.raw_deployment(fault_scenario.parse(f"edges {len(fleet.edges)}\n"))
     raw["plans"]["basico"].update(limit=limit, burst=2 * limit)
-    return fleet.send_policy_command(word, "propose", text=documents.serialize(raw))
+    return fleet.send_policy_command(label, "propose", text=documents.serialize(raw))
 
 
 def leader(fleet):
@@ -77,7 +77,7 @@
         await fleet.sleep(5)
         assert replicated_log.storage_failed_at is None and replicated_log.policy.active.version == 2
         assert any(row["event"] == "raft.storage_failed" for row in fleet.logs)
-        # It votes again: without the leader, its vote is needed for a majority.
+        # Without the leader, its vote is needed for a majority.
         fleet.kill_planner_by_name(leader(fleet))
         await propose(fleet, "after", 50.0)
         await fleet.sleep(6)
@@ -172,7 +172,7 @@
             while await reader.read(1 << 16):
                 pass
         await fleet.sleep(3)
-        # It still ticks: otherwise it would no longer lead or commit anything.
+        # It still ticks; otherwise it would neither lead nor commit.
         assert leader(fleet) == name
         await propose(fleet, "down", 40.0)
         assert fleet.operator_commands[-1]["said"].endswith("is staged")
