--- a/rushmux/standins/policy_model_state.py
+++ b/rushmux/standins/policy_model_state.py
@@ -21,7 +21,7 @@
 
 
 class Bounds(NamedTuple):
-    """How often each event may happen."""
+    """Bounds of an exploration."""
 
     steps: int = 4  # of the clock
     crashes: int = 1
