--- a/benchmarks/buffer.py
+++ b/benchmarks/buffer.py
@@ -61,7 +61,7 @@
             if buffer_on:
                 self.counters = fleet.edges[0].program.buffer.counters
 
-        fleet, _ = fleets.play(deployment.build(raw), seed, story, nodes=4, edges=2, unit=UNIT)
+        fleet, _ = fleets.run_fleet(deployment.build(raw), seed, story, nodes=4, edges=2, unit=UNIT)
         rows = [row for row in fleet.records if row["kind"] == "execution" and row["what"] != "drop"]
         self.operations = len(rows)
         self.writes = sum(row["what"] == "write" for row in rows)
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -77,7 +77,7 @@
 
         await asyncio.gather(*(arrivals(edge) for edge in fleet.edges.values()))
 
-    fleet, _ = fleets.play(stated, seed, story, nodes=6, edges=3, level="error")
+    fleet, _ = fleets.run_fleet(stated, seed, story, nodes=6, edges=3, level="error")
     return times, ends, fleet.all_records(), stated
 
 
--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -106,8 +106,8 @@
     file.write_text(json.dumps(raw))
     fleet = ProcessFleet(file, deployment.load(file), Path(folder), 1, unit=0.00001)
     if words.profile:
-        fleet.prefix["edge"] = ["-m", "cProfile", "-o", words.profile]
-    await fleet.up(1, 1)
+        fleet.interpreter_options["edge"] = ["-m", "cProfile", "-o", words.profile]
+    await fleet.start(1, 1)
     try:
         client = await fleet.client(0)
         await client.put("/limon/file", bytes(SIZE))
@@ -132,7 +132,7 @@
                 flush=True,
             )
     finally:
-        await fleet.down()
+        await fleet.stop()
     shares = [share for share, _, _ in rounds]
     print(
         f"reads of {SIZE} bytes, {words.sessions} sessions with {OUT} out, {words.rounds} rounds: ratio "
--- a/benchmarks/planner_kills.py
+++ b/benchmarks/planner_kills.py
@@ -38,21 +38,23 @@
     stated = deployments.build(raw)
 
     async def story(made):
-        chance, port = random.Random(seed), made.lists.port
+        chance, port = random.Random(seed), made.endpoint_source.port
 
         async def killer():
             for _ in range(KILLS):
                 await made.sleep(chance.uniform(0.2, 4.0))
                 made.kill_planner()
                 await made.sleep(chance.uniform(0.0, 2.0))
-                await made.plan(NODES, port)
+                await made.start_single_planner(NODES, port)
 
         task = asyncio.ensure_future(killer())
-        await days.play(made, script.parse(EVENTS), days.Load(LOAD), seed)
+        await days.run_day(made, script.parse(EVENTS), days.Load(LOAD), seed)
         await task
 
     with tempfile.TemporaryDirectory() as place:
-        made, _ = fleets.play(stated, seed, story, NODES, EDGES, planner=Path(place) / "p", level="error")
+        made, _ = fleets.run_fleet(
+            stated, seed, story, NODES, EDGES, planner=Path(place) / "p", level="error"
+        )
     records = made.all_records()
     breaches = Checker(records, stated, WAY).breaches()
     answers = [row for row in records if row["kind"] == "answer"]
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -114,7 +114,7 @@
     chance, members = random.Random(1), []
     try:
         await asyncio.gather(*(made.start_planner(name, True) for name in made.planner_names))
-        members = [Member(number, made.places, chance) for number in range(edges)]
+        members = [Member(number, made.planner_addresses, chance) for number in range(edges)]
         for member in members:
             member.task = asyncio.ensure_future(member.run())
         async with asyncio.timeout(CONVERGENCE_TIMEOUT):
@@ -129,7 +129,7 @@
         there = members[round(edges * away) :]
         raw["plans"]["basico"].update(limit=edges * 20.0, burst=edges * 40.0)
         await admin_client.send_policy_command(
-            made.places, "propose", client="b", n=1, by="b", text=documents.serialize(raw)
+            made.planner_addresses, "propose", client="b", n=1, by="b", text=documents.serialize(raw)
         )
         async with asyncio.timeout(CONVERGENCE_TIMEOUT):
             while not all(CHANGED_VERSION in member.active_since for member in there):
@@ -151,7 +151,7 @@
     finally:
         for member in members:
             member.task.cancel()
-        await made.down()
+        await made.stop()
 
 
 def change(sizes=(10, 100, 300)):
@@ -253,7 +253,7 @@
         raw["plans"]["basico"].update(limit=edges * 200.0, burst=edges * 400.0)
         raw["bounds"]["cold_falls_units"], raw["fleet"]["cold_units"] = 113_000, 1
         fleet = policy_fleet.PolicyFleet(loop, build(raw, reject_findings=False), 3, folder)
-        await fleet.up(NODES, edges)
+        await fleet.start(NODES, edges)
         for number in range(down):
             fleet.kill_edge(number)
         begun = loop.time()
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -62,12 +62,12 @@
             fleet.log_disks[0] = disk
             fleet.kill_edge(0)
             begun = time.perf_counter()
-            await fleet.edge(0)
+            await fleet.start_edge(0)
             took = time.perf_counter() - begun
             await asyncio.sleep(0)
             return took, fleet.edges[0].program.buffer.writes.byte_count
 
-        return fleets.play(deployment.build(raw), 1, story)[1]
+        return fleets.run_fleet(deployment.build(raw), 1, story)[1]
 
 
 def main():
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -64,7 +64,7 @@
             outcomes["not stored"] += 1
 
     async def story(made):
-        rng, port = random.Random(seed), made.lists.port
+        rng, port = random.Random(seed), made.endpoint_source.port
         begun, tasks = made.loop.time(), []
 
         async def folder(name):
@@ -83,14 +83,14 @@
             await asyncio.sleep(seconds * (CRASH_AT - PAUSE_AT))
             made.kill_planner()
             await asyncio.sleep(DOWNTIME)
-            await made.plan(NODES, port)
+            await made.start_single_planner(NODES, port)
 
         injected = [inject_faults()] if faults else []
         await asyncio.gather(*(folder(name) for name in stated.folders), *injected)
         await asyncio.gather(*tasks)
 
     with tempfile.TemporaryDirectory() as place:
-        made, _ = fleets.play(
+        made, _ = fleets.run_fleet(
             stated,
             seed,
             story,
@@ -98,7 +98,7 @@
             edges=EDGES,
             planner=Path(place) / "p",
             level="error",
-            logs=False,
+            buffer_logs=False,
             unit=0.004,
         )
     return outcomes, made.all_records(), stated
--- a/rushmux/cli/crash_rounds.py
+++ b/rushmux/cli/crash_rounds.py
@@ -107,14 +107,14 @@
         return errors
 
     try:
-        _, errors = fleets.play(
+        _, errors = fleets.run_fleet(
             build(raw),
             seed,
             story,
             nodes=NODES,
             edges=EDGES,
             unit=SIMULATED_UNIT_TIME,
-            logs=seed % LOG_PERIOD > 0,
+            buffer_logs=seed % LOG_PERIOD > 0,
         )
     except Exception as error:  # whatever a round raises is its result: the others go on
         return [f"{type(error).__name__}: {error}"]
@@ -133,7 +133,7 @@
                 file, build(raw), Path(folder), seeds[0], lag=ENDPOINT_LAG, unit=REAL_UNIT_TIME
             )
             try:
-                await fleet.up(NODES, EDGES)
+                await fleet.start(NODES, EDGES)
                 for seed in seeds:
                     rng = random.Random(seed)
                     fault = asyncio.ensure_future(_inject_fault(fleet, rng))
@@ -143,7 +143,7 @@
                     await fault
                     rounds.append(Round(seed, errors))
             finally:
-                await fleet.down()
+                await fleet.stop()
         return rounds
 
     return asyncio.run(run_rounds())
--- a/rushmux/cli/demo.py
+++ b/rushmux/cli/demo.py
@@ -14,7 +14,7 @@
 from rushmux.standins import fleet as fleets
 from rushmux.standins import scenario as days
 from rushmux.standins import script
-from rushmux.standins.passthrough import PassThrough
+from rushmux.standins.passthrough import PassThroughScheduler
 from rushmux.standins.processes import ProcessFleet, ProcessStartError
 from rushmux.standins.report import evaluate
 
@@ -24,7 +24,7 @@
 """Seconds that a message is on its way at most, on the simulated network."""
 MAX_REAL_DELAY = 0.25
 """The same between real processes on a busy machine."""
-SCHEDULER_TYPES = {"module": Scheduler, "passthrough": PassThrough}
+SCHEDULER_TYPES = {"module": Scheduler, "passthrough": PassThroughScheduler}
 
 
 class Demo(NamedTuple):
@@ -89,19 +89,19 @@
 
 def _record_simulated_day(demo: Demo, decisions: str, deployment: Deployment) -> Recording:
     """Plays the day in this process on a simulated clock."""
-    chosen, load = script.load(demo.day), days.Load(part=demo.load)
+    chosen, load = script.load(demo.day), days.Load(nominal_share=demo.load)
 
     async def story(fleet: fleets.VirtualFleet) -> None:
-        await days.play(fleet, chosen, load, demo.seed)
+        await days.run_day(fleet, chosen, load, demo.seed)
 
-    fleet, _ = fleets.play(
+    fleet, _ = fleets.run_fleet(
         deployment,
         demo.seed,
         story,
         nodes=demo.nodes,
         edges=demo.edges,
         unit=UNIT_TIME,
-        decisions=SCHEDULER_TYPES[decisions],
+        scheduler_type=SCHEDULER_TYPES[decisions],
     )
     return Recording(fleet.all_records(), deployment)
 
@@ -110,17 +110,17 @@
     demo: Demo, decisions: str, folder: Path, path: Path, deployment: Deployment
 ) -> Recording:
     """Plays the day on processes of their own."""
-    chosen, load = script.load(demo.day), days.Load(part=demo.load)
+    chosen, load = script.load(demo.day), days.Load(nominal_share=demo.load)
 
     async def play() -> Sequence[dict]:
         fleet = ProcessFleet(
-            path, deployment, folder, demo.seed, records=True, decisions=decisions, unit=UNIT_TIME
+            path, deployment, folder, demo.seed, records=True, scheduler=decisions, unit=UNIT_TIME
         )
         try:
-            await fleet.up(demo.nodes, demo.edges)
-            await days.play(fleet, chosen, load, demo.seed)
+            await fleet.start(demo.nodes, demo.edges)
+            await days.run_day(fleet, chosen, load, demo.seed)
         finally:
-            await fleet.down()
+            await fleet.stop()
         return fleet.all_records()
 
     return Recording(asyncio.run(play()), deployment)
--- a/rushmux/cli/edge.py
+++ b/rushmux/cli/edge.py
@@ -54,7 +54,7 @@
     from rushmux.edge.endpoint_cache import EndpointCache
     from rushmux.scheduling.scheduler import Scheduler
     from rushmux.settings import deployment as deployments
-    from rushmux.standins.passthrough import PassThrough
+    from rushmux.standins.passthrough import PassThroughScheduler
 
     deployment = load_deployment(options.deployment_file)
     if not 0 <= number < deployment.settings.gateway_count:
@@ -74,7 +74,7 @@
             seed=new_seed(options.seed),
             epoch=time.time() - loop.time(),
             log=logger,
-            scheduler_type={"module": Scheduler, "passthrough": PassThrough}[decisions],
+            scheduler_type={"module": Scheduler, "passthrough": PassThroughScheduler}[decisions],
             make_buffer=write_back_factory(deployment, log_disk),
             endpoint_cache=EndpointCache(Path(data) / "last.list", time.time, logger) if data else None,
             policy_store=policy_store,
--- a/rushmux/cli/local_fleet.py
+++ b/rushmux/cli/local_fleet.py
@@ -83,13 +83,13 @@
             path, deployment, folder, new_seed(None), lag=ENDPOINT_LAG, unit=UNIT_TIME, planner=True
         )
         try:
-            await fleet.up(nodes, edges)
+            await fleet.start(nodes, edges)
             _announce(fleet)
             await _restart_until_stopped(fleet, stopped)
         except ProcessStartError as error:
             raise click.ClickException(str(error)) from error
         finally:
-            await fleet.down()
+            await fleet.stop()
 
     asyncio.run(run())
 
@@ -108,7 +108,7 @@
 
 def _announce(fleet: ProcessFleet) -> None:
     addresses = [f"{HOST}:{fleet.edges[number].port}" for number in sorted(fleet.edges)]
-    click.echo(json.dumps({"edges": addresses, "planner": f"{HOST}:{fleet.lists.port}"}))
+    click.echo(json.dumps({"edges": addresses, "planner": f"{HOST}:{fleet.endpoint_source.port}"}))
 
 
 async def _restart_until_stopped(fleet: ProcessFleet, stopped: asyncio.Event) -> None:
@@ -125,15 +125,15 @@
         if part.process.returncode is not None:
             _report_ended(name, part.process.returncode)
             await asyncio.sleep(RESTART_DELAY)
-            await fleet.node(name, part.cell)
-    if fleet.planner and fleet.lists.process.returncode is not None:
-        _report_ended("planner", fleet.lists.process.returncode)
-        await fleet.plan(fleet.lists.port)
+            await fleet.start_node(name, part.cell)
+    if fleet.planner and fleet.endpoint_source.process.returncode is not None:
+        _report_ended("planner", fleet.endpoint_source.process.returncode)
+        await fleet.start_single_planner(fleet.endpoint_source.port)
     for number, part in list(fleet.edges.items()):
         if part.process.returncode is not None:
             _report_ended(part.name, part.process.returncode)
             await asyncio.sleep(RESTART_DELAY)
-            await fleet.edge(number, part.port)
+            await fleet.start_edge(number, part.port)
 
 
 def _report_ended(name: str, exit_code: int) -> None:
--- a/rushmux/cli/node.py
+++ b/rushmux/cli/node.py
@@ -64,13 +64,13 @@
     accepts_faults: bool,
 ) -> None:
     """A stand-in storage node."""
-    from rushmux.standins.fleet import shape_of, window_of
+    from rushmux.standins.fleet import dedup_window_of, shape_of
     from rushmux.standins.node import Identity, Node
     from rushmux.standins.store import Store, StoreError
 
     deployment = load_deployment(options.deployment_file)
     try:
-        store = Store(data, cell, disk_bytes, window_of(deployment), sync)
+        store = Store(data, cell, disk_bytes, dedup_window_of(deployment), sync)
     except StoreError as error:
         raise click.ClickException(str(error)) from error
 
--- a/rushmux/lab/system_simulation.py
+++ b/rushmux/lab/system_simulation.py
@@ -205,7 +205,7 @@
             self.gateway_killed[number].set_result(True)
         await asyncio.sleep(event.duration)
         for number in event.targets:
-            await self.fleet.edge(number)
+            await self.fleet.start_edge(number)
             self.gateway_killed[number] = self.loop.create_future()
 
     async def _restart_nodes(self, event: FaultEvent) -> None:
@@ -229,7 +229,7 @@
             await self._start_node(target)
 
     async def _start_node(self, name: str) -> None:
-        await self.fleet.node(_standin_name(name), _cell(name))
+        await self.fleet.start_node(_standin_name(name), _cell(name))
 
 
 def _standin_name(name: str) -> str:
@@ -261,16 +261,16 @@
         return await SystemSimulation(standins, day.arrivals, day.events, seed).run()
 
     machine = {name: getattr(day.fleet.machine, name) for name in MACHINE_FIELDS}
-    standins, completed = standin_fleets.play(
+    standins, completed = standin_fleets.run_fleet(
         day.deployment,
         seed,
         run_day,
         nodes=day.fleet.node_count,
         edges=day.fleet.gateway_count,
         level="error",
-        logs=False,
+        buffer_logs=False,
         lag=DISCOVERY_LAG,
-        decisions=make_scheduler,
+        scheduler_type=make_scheduler,
         **{**machine, **settings},
     )
     return SystemResult(completed, standins)
--- a/rushmux/standins/client.py
+++ b/rushmux/standins/client.py
@@ -139,7 +139,7 @@
         await self.ask(sftp.Close, handle, **about)
         return b"".join(parts)
 
-    async def names(self, path, **about):
+    async def list_directory(self, path, **about):
         """The names in a directory."""
         handle = (await self.ask(sftp.OpenDir, path, **about)).handle
         names = []
--- a/rushmux/standins/fault_injection.py
+++ b/rushmux/standins/fault_injection.py
@@ -52,7 +52,7 @@
         sizes = self._fleet.scenario.sizes
         surge = Event(0.1, "surge", LIMITED_FOLDER, size=sizes["surge"], seconds=sizes["length"])
         script = Script(sizes["length"], (surge,))
-        await days.play(self._fleet, script, days.Load(sizes["load"]), CLIENT_SEED)
+        await days.run_day(self._fleet, script, days.Load(sizes["load"]), CLIENT_SEED)
 
     async def _run_later(self, step: Step) -> None:
         await asyncio.sleep(step.at)
@@ -118,11 +118,11 @@
     deployment = build(raw)
     fleet = ScenarioFleet(scenario, file, deployment, folder, seed)
     try:
-        await fleet.up(int(scenario.sizes["nodes"]), int(scenario.sizes["edges"]))
+        await fleet.start(int(scenario.sizes["nodes"]), int(scenario.sizes["edges"]))
         await ScenarioRun(fleet).run()
         settled = fleet.is_settled()
     finally:
-        await fleet.down()
+        await fleet.stop()
     breaches, facts = check_history(
         fleet.all_records(), deployment, scenario.expectations, fleet.operator_commands, fleet.stopped
     )
--- a/rushmux/standins/fleet.py
+++ b/rushmux/standins/fleet.py
@@ -61,7 +61,7 @@
     )
 
 
-def window_of(deployment: Deployment) -> float:
+def dedup_window_of(deployment: Deployment) -> float:
     """Seconds for which a node knows the mark of a change again, with room for the way to it."""
     return deployment.settings.request_classes[deployment.roles["change"]].dedup_window / TICKS_PER_SECOND + 1
 
@@ -76,42 +76,42 @@
         seed: int,
         *,
         lag=1.0,
-        decisions=Scheduler,
+        scheduler_type=Scheduler,
         level="info",
         disk=DISK_SIZE,
-        logs=True,
+        buffer_logs=True,
         planner=None,
-        lists=None,
+        endpoint_cache_folder=None,
         **shape,
     ):
         self.loop, self.deployment, self.rng = loop, deployment, random.Random(seed)
-        self.lag, self.decisions, self.disk = lag, decisions, disk
+        self.lag, self.scheduler_type, self.disk = lag, scheduler_type, disk
         self.shape = shape_of(deployment, **shape)
         self.records, self.logs = [], []
-        self.log_disks = {} if logs else None  # edge -> the disk of its buffer's log
+        self.log_disks = {} if buffer_logs else None  # edge -> the disk of its buffer's log
         self.planner = planner  # path of a planner's store, to have one in place of the list source
-        self.endpoint_caches = lists  # folder in which edges cache their endpoint lists
+        self.endpoint_cache_folder = endpoint_cache_folder  # folder in which edges cache their endpoint lists
         self.log = log.to_list(self.logs, level)
-        self.nodes, self.edges, self.stores, self.lists = {}, {}, {}, None
+        self.nodes, self.edges, self.stores, self.endpoint_source = {}, {}, {}, None
 
     def record(self, kind, **fields):
         """Adds a row to the recording."""
         self.records.append({"kind": kind, "at": self.loop.time(), **fields})
 
-    def seed(self):
+    def draw_seed(self):
         """A seed for a part of the fleet."""
         return self.rng.getrandbits(48)
 
-    async def up(self, nodes: int, edges: int):
+    async def start(self, nodes: int, edges: int):
         """Starts everything, nodes warm, and waits until the edges know the list."""
         if self.planner is not None:
-            await self.plan(nodes)
+            await self.start_single_planner(nodes)
         else:
-            await self.source(nodes)
+            await self.start_list_source(nodes)
         for cell in range(nodes):
-            await self.node(f"node{cell}", cell, cold=False)
+            await self.start_node(f"node{cell}", cell, cold=False)
         for number in range(edges):
-            await self.edge(number)
+            await self.start_edge(number)
         for _ in range(int(START_TIMEOUT / POLL_INTERVAL)):
             if all(
                 len(part.program.driver.endpoint_table.disk_space) == nodes for part in self.edges.values()
@@ -120,7 +120,7 @@
             await self.sleep(POLL_INTERVAL)
         raise TimeoutError(f"the edges do not know all {nodes} nodes after {START_TIMEOUT:g} s")
 
-    async def source(self, nodes, port=0):
+    async def start_list_source(self, nodes, port=0):
         """Starts the stand-in for the source of the list."""
         settings = self.deployment.settings
         process = self.loop.process("lists")
@@ -135,9 +135,9 @@
             },
             accepts_faults=True,
         )
-        self.lists = Part(process, source, await process.spawn(source.open(HOST, port)))
+        self.endpoint_source = Part(process, source, await process.spawn(source.open(HOST, port)))
 
-    async def plan(self, nodes, port=0):
+    async def start_single_planner(self, nodes, port=0):
         """Starts a planner, anew where one ran before: on the same port, with what it kept."""
         process = self.loop.process("planner")
         program = Planner(
@@ -148,23 +148,23 @@
             limited_folders=self.deployment.limits(),
             gateway_count=self.deployment.settings.gateway_count,
         )
-        self.lists = Part(process, program, await process.spawn(program.open(HOST, port)))
+        self.endpoint_source = Part(process, program, await process.spawn(program.open(HOST, port)))
 
     async def sleep(self, seconds):
         """Waits on the virtual clock."""
         await asyncio.sleep(seconds)
 
-    async def node(self, name, cell, cold=True, empty=False, disk=None):
+    async def start_node(self, name, cell, cold=True, empty=False, disk=None):
         """Starts a node; one of a known name has what it held before, unless it is to be empty."""
         if empty or name not in self.stores:
-            self.stores[name] = Store(":memory:", cell, disk or self.disk, window_of(self.deployment))
+            self.stores[name] = Store(":memory:", cell, disk or self.disk, dedup_window_of(self.deployment))
         process = self.loop.process(name)
         program = Node(
             Identity(name, cell, f"z{cell % 2}"),
             self.stores[name],
-            self.lists.address,
+            self.endpoint_source.address,
             self.shape,
-            seed=self.seed(),
+            seed=self.draw_seed(),
             cold=cold,
             log=self.log,
             record=self.record,
@@ -179,17 +179,17 @@
         self.nodes[name].process.kill()
         self.stores[name].roll_back()
 
-    async def edge(self, number):
+    async def start_edge(self, number):
         """Starts an edge, anew where it ran before."""
         process = self.loop.process(f"edge{number}")
         program = Edge(
             number,
             self.deployment,
-            self.lists.address,
-            seed=self.seed(),
+            self.endpoint_source.address,
+            seed=self.draw_seed(),
             epoch=EPOCH,
             log=self.log,
-            scheduler_type=self.decisions,
+            scheduler_type=self.scheduler_type,
             make_buffer=write_back_factory(self.deployment, self.log_disk(number)),
             endpoint_cache=self.endpoint_cache(number),
         )
@@ -201,10 +201,12 @@
 
     def endpoint_cache(self, number):
         """The endpoint cache of an edge, where edges have one."""
-        if self.endpoint_caches is None:
+        if self.endpoint_cache_folder is None:
             return None
         return EndpointCache(
-            Path(self.endpoint_caches) / f"edge{number}.list", lambda: EPOCH + self.loop.time(), self.log
+            Path(self.endpoint_cache_folder) / f"edge{number}.list",
+            lambda: EPOCH + self.loop.time(),
+            self.log,
         )
 
     def log_disk(self, number):
@@ -231,7 +233,7 @@
 
     async def inject_fault(self, target, kind, size=0.0, seconds=0.0):
         """Starts a fault at a node, or at the source of the endpoint list."""
-        part = self.lists if target == "lists" else self.nodes[target]
+        part = self.endpoint_source if target == "lists" else self.nodes[target]
         part.process.context.run(part.program.start_fault, kind, size, seconds)
 
     async def client(self, number) -> Client:
@@ -249,12 +251,12 @@
         return sorted(self.records, key=lambda row: row["at"])
 
 
-def play(deployment: Deployment, seed: int, story, nodes=4, edges=2, **fleet):
+def run_fleet(deployment: Deployment, seed: int, story, nodes=4, edges=2, **fleet):
     """Brings a fleet up on a virtual clock and plays `story(fleet)`; the fleet, and what that gave."""
 
     async def run_story(loop):
         started = VirtualFleet(loop, deployment, seed, **fleet)
-        await started.up(nodes, edges)
+        await started.start(nodes, edges)
         result = await story(started)
         started.raise_faults()
         return started, result
--- a/rushmux/standins/fleet_operations.py
+++ b/rushmux/standins/fleet_operations.py
@@ -10,24 +10,24 @@
 
 
 class FleetOperations:
-    """Part of a fleet that has `record`, `kill_node`, `node`, `cell_of` and `lists`."""
+    """Part of a fleet that has `record`, `kill_node`, `node`, `cell_of` and `endpoint_source`."""
 
-    async def replace(self, name: str, new: str) -> None:
+    async def replace_node(self, name: str, new: str) -> None:
         """Removes a node and starts a new, empty one for its cell."""
         cell = self.cell_of(name)
         self.kill_node(name)
-        await self.node(new, cell)
+        await self.start_node(new, cell)
 
     def kill_planner(self) -> None:
         """Kills the only planner's process."""
         self.record("killed", planner=True)
-        self.lists.process.kill()
+        self.endpoint_source.process.kill()
 
     async def send_policy_command(self, label: str, verb: str, **fields) -> None:
         """Sends a policy command until an answer comes, under one idempotency key.
 
         The answer goes to `operator_commands`, under `label`.  For fleets that have `operator_commands` and
-        `places`.
+        `planner_addresses`.
         """
         key = {"client": f"person{len(self.operator_commands)}", "n": 1, "by": "somebody"}
         row = {"word": label, "verb": verb, "said": "", "number": fields.get("number")}
@@ -36,7 +36,7 @@
         while self.loop.time() < deadline:
             try:
                 row["said"] = (
-                    await admin_client.send_policy_command(self.places, verb, **fields, **key)
+                    await admin_client.send_policy_command(self.planner_addresses, verb, **fields, **key)
                 ).said
                 break
             except PlannerUnavailableError:
--- a/rushmux/standins/kills.py
+++ b/rushmux/standins/kills.py
@@ -340,7 +340,7 @@
 
 async def _wait_for_recovery(fleet: FleetOperations, folder: str, slots: Sequence[Sequence[Extent]]) -> None:
     """Restarts the edge and waits until the writes in its log are flushed."""
-    await fleet.edge(EDGE)
+    await fleet.start_edge(EDGE)
     client = await fleet.client(EDGE)
     await read_slots(client, folder, slots)
     await client.close()
--- a/rushmux/standins/passthrough.py
+++ b/rushmux/standins/passthrough.py
@@ -8,7 +8,7 @@
 from rushmux.scheduling.interface import NEVER_RAN, EndpointState, Idempotency
 
 
-class PassThrough:
+class PassThroughScheduler:
     """Sends each operation at once to a node of its cell, once, until its hard stop."""
 
     def __init__(self, settings, seed, now, actions):
--- a/rushmux/standins/policy_fleet.py
+++ b/rushmux/standins/policy_fleet.py
@@ -69,7 +69,7 @@
         self.partition_number, self.fault_rng = 0, random.Random(f"policy {seed}")
 
     @property
-    def places(self):
+    def planner_addresses(self):
         """The planners' addresses."""
         return tuple((HOST, FIRST_PORT + index) for index in range(len(PLANNERS)))
 
@@ -79,9 +79,9 @@
         data = self.folder / f"{name}.db"
         replication = ReplicationSettings(
             name,
-            dict(zip(PLANNERS, self.places, strict=True)),
+            dict(zip(PLANNERS, self.planner_addresses, strict=True)),
             f"{data}.log",
-            random.Random(self.seed()),
+            random.Random(self.draw_seed()),
             bootstrap=bootstrap,
         )
         program = Planner(
@@ -104,16 +104,16 @@
         part.program.replicated_log.storage.release()  # the kernel releases the lock of a dead process
         part.program.store.close()
 
-    async def up(self, nodes, edges):
+    async def start(self, nodes, edges):
         """Starts all programs, with warm nodes, and waits until every edge serves with a lease."""
         self.cells = nodes
         for name in PLANNERS:
             await self.start_planner(name, True)
-        self.lists = type("Lists", (), {"address": self.places})
+        self.endpoint_source = type("Lists", (), {"address": self.planner_addresses})
         for cell in range(nodes):
-            await self.node(f"node{cell}", cell, cold=False)
+            await self.start_node(f"node{cell}", cell, cold=False)
         for number in range(edges):
-            await self.edge(number)
+            await self.start_edge(number)
         for _ in range(int(START_TIMEOUT / POLL_INTERVAL)):
             members = [part.program.policy_client.member for part in self.edges.values()]
             if all(member.is_serving() and not member.is_degraded(self.loop.time()) for member in members):
@@ -121,17 +121,17 @@
             await self.sleep(POLL_INTERVAL)
         raise TimeoutError("not every edge serves with a lease in time")
 
-    async def edge(self, number):
+    async def start_edge(self, number):
         """Starts or restarts an edge."""
         process = self.loop.process(f"edge{number}")
         program = Edge(
             number,
             self.deployment,
-            self.places,
-            seed=self.seed(),
+            self.planner_addresses,
+            seed=self.draw_seed(),
             epoch=EPOCH,
             log=self.log,
-            scheduler_type=self.decisions,
+            scheduler_type=self.scheduler_type,
             make_buffer=write_back_factory(self.deployment, None),
             policy_store=PolicyStore(self.folder / f"edge{number}.kept"),
         )
@@ -192,7 +192,7 @@
         if not self.edges[number].process.dead:
             self.kill_edge(number)
             await self.sleep(0.05 * 400 ** self.fault_rng.random())
-            await self.edge(number)
+            await self.start_edge(number)
 
     async def pause_random_edge(self):
         """Pauses an edge's process."""
@@ -263,7 +263,7 @@
 
     async def play(loop):
         fleet = PolicyFleet(loop, deployment, seed, folder)
-        await fleet.up(nodes, edges)
+        await fleet.start(nodes, edges)
         until, rates = loop.time() + FAULT_TIME, draw_fault_rates(fleet.fault_rng)
         actions = (
             fleet.restart_random_planner,
--- a/rushmux/standins/processes.py
+++ b/rushmux/standins/processes.py
@@ -59,18 +59,18 @@
         *,
         lag=1.0,
         records=False,
-        decisions="module",
+        scheduler="module",
         unit=0.02,
         planner=False,
     ):
         self.file, self.deployment = Path(deployment_file), deployment
         self.folder, self.lag = Path(folder), lag
-        self.rng, self.records, self.decisions, self.unit = random.Random(seed), records, decisions, unit
+        self.rng, self.records, self.scheduler, self.unit = random.Random(seed), records, scheduler, unit
         self.loop = asyncio.get_running_loop()
-        self.nodes, self.edges, self.lists, self.count, self.rows = {}, {}, None, 0, []
+        self.nodes, self.edges, self.endpoint_source, self.count, self.rows = {}, {}, None, 0, []
         self.planner = planner  # a planner in place of the list source
         self.cells = 0
-        self.prefix = {}  # kind of part -> words for the interpreter before the program
+        self.interpreter_options = {}  # kind of part -> words for the interpreter before the program
         for name in ("data", "logs", "records"):
             (self.folder / name).mkdir(parents=True, exist_ok=True)
 
@@ -78,7 +78,7 @@
         """Adds a row to the recording of what is done to the fleet."""
         self.rows.append({"kind": kind, "at": self.loop.time(), **fields})
 
-    async def begin(self, name, *words):
+    async def start_process(self, name, *words):
         """Starts a part and waits until it says where it listens."""
         self.count += 1
         log = self.folder / "logs" / f"{self.count:03}-{name}.jsonl"
@@ -88,7 +88,7 @@
             # A fleet whose starter is killed would run on alone: each process ends with its standard input.
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
-                *self.prefix.get(words[0], ()),
+                *self.interpreter_options.get(words[0], ()),
                 "-m",
                 "rushmux",
                 *map(str, words),
@@ -105,29 +105,29 @@
                 line = await process.stdout.readline()
             announced = json.loads(line)
         except (TimeoutError, ValueError):
-            await self.end_one(Part(name, process, 0, log))
+            await self.stop_process(Part(name, process, 0, log))
             raise ProcessStartError(f"{name} did not start: {log.read_text()[-MAX_LOG_SHOWN:]}") from None
         return Part(name, process, announced["port"], log, start=announced.get("start", ""))
 
-    async def up(self, nodes: int, edges: int):
+    async def start(self, nodes: int, edges: int):
         """Starts everything, nodes warm, and waits until the edges know the list."""
         self.cells = nodes
-        await (self.plan() if self.planner else self.source())
-        await asyncio.gather(*(self.node(f"node{cell}", cell, cold=False) for cell in range(nodes)))
-        await asyncio.gather(*(self.edge(number) for number in range(edges)))
+        await (self.start_single_planner() if self.planner else self.start_list_source())
+        await asyncio.gather(*(self.start_node(f"node{cell}", cell, cold=False) for cell in range(nodes)))
+        await asyncio.gather(*(self.start_edge(number) for number in range(edges)))
         async with asyncio.timeout(LIST_TIMEOUT):
             while not all(b'"endpoints.updated"' in part.log.read_bytes() for part in self.edges.values()):
                 await asyncio.sleep(POLL_INTERVAL)
 
-    async def source(self):
+    async def start_list_source(self):
         """Starts the stand-in for the source of the list."""
-        self.lists = await self.begin(
+        self.endpoint_source = await self.start_process(
             "lists", "lists", "--deployment", self.file, "--cells", self.cells, "--lag", self.lag, "--obeys"
         )
 
-    async def plan(self, port=0):
+    async def start_single_planner(self, port=0):
         """Starts the planner, anew where it ran before."""
-        self.lists = await self.begin(
+        self.endpoint_source = await self.start_process(
             "planner",
             "planner",
             "--deployment",
@@ -140,7 +140,7 @@
             self.folder / "data" / "planner.db",
         )
 
-    async def node(self, name, cell, cold=True):
+    async def start_node(self, name, cell, cold=True):
         """Starts a node; one of a known name has what it held before."""
         words = [
             "node",
@@ -153,18 +153,18 @@
             "--unit",
             self.unit,
             "--lists",
-            f"{HOST}:{self.lists.port}",
+            f"{HOST}:{self.endpoint_source.port}",
             "--obeys",
             "--data",
             self.folder / "data" / f"{name}.db",
         ]
-        part = await self.begin(name, *words, *(() if cold else ("--warm",)))
+        part = await self.start_process(name, *words, *(() if cold else ("--warm",)))
         part.cell, self.nodes[name] = cell, part
         return part
 
-    async def edge(self, number, port=0):
+    async def start_edge(self, number, port=0):
         """Starts an edge, on the port that it had before where one is given."""
-        part = await self.begin(
+        part = await self.start_process(
             f"edge{number}",
             "edge",
             "--listen",
@@ -174,9 +174,9 @@
             "--number",
             number,
             "--lists",
-            f"{HOST}:{self.lists.port}",
+            f"{HOST}:{self.endpoint_source.port}",
             "--decisions",
-            self.decisions,
+            self.scheduler,
             "--data",
             self.folder / "data" / f"edge{number}",
         )
@@ -206,7 +206,7 @@
 
     async def inject_fault(self, target, kind, size=0.0, seconds=0.0):
         """Starts a fault at a node or the source of the endpoint list, over its own socket."""
-        part = self.lists if target == "lists" else self.nodes[target]
+        part = self.endpoint_source if target == "lists" else self.nodes[target]
         reader, writer = await asyncio.open_connection(*part.address)
         hello = messages.Hello(version=VERSION, peer="script", start="0")
         writer.write(frame(messages.Message(hello=hello)))
@@ -225,7 +225,7 @@
         """A session with an edge."""
         return await Client(self.record).connect(*self.edges[number].address)
 
-    async def end_one(self, part):
+    async def stop_process(self, part):
         """Ends a process: in order, or by SIGKILL after a while."""
         if part.process.returncode is None:
             part.process.stdin.close()
@@ -237,10 +237,14 @@
                 part.process.kill()
         await part.process.wait()
 
-    async def down(self):
+    async def stop(self):
         """Ends every part: edges first, so that they answer what they hold."""
-        for parts in (self.edges.values(), self.nodes.values(), [self.lists] if self.lists else []):
-            await asyncio.gather(*(self.end_one(part) for part in parts))
+        for parts in (
+            self.edges.values(),
+            self.nodes.values(),
+            [self.endpoint_source] if self.endpoint_source else [],
+        ):
+            await asyncio.gather(*(self.stop_process(part) for part in parts))
 
     def all_records(self):
         """What clients, nodes and edges recorded, in the order of time."""
--- a/rushmux/standins/scenario.py
+++ b/rushmux/standins/scenario.py
@@ -40,7 +40,7 @@
 class Load(NamedTuple):
     """What clients ask: `part` is the share of each folder's nominal rate."""
 
-    part: float = 1.0
+    nominal_share: float = 1.0
     reads: float = 0.55
     lists: float = 0.05
     ledgers: float = 0.15
@@ -69,7 +69,11 @@
     async def run(self, until):
         """Draws arrivals until a time."""
         loop, plan = self.fleet.loop, self.fleet.deployment.settings.plans
-        rate = plan[self.fleet.deployment.folders[self.folder].plan].nominal * self.load.part / UNITS_PER_TASK
+        rate = (
+            plan[self.fleet.deployment.folders[self.folder].plan].nominal
+            * self.load.nominal_share
+            / UNITS_PER_TASK
+        )
         while loop.time() < until:
             await asyncio.sleep(self.rng.expovariate(rate * self.rate_factor))
             if len(self.running) >= MAX_TASKS:
@@ -115,7 +119,7 @@
             if draw < self.load.ledgers:
                 await self.write_ledger(client, edge, about)
             elif draw < self.load.ledgers + self.load.lists:
-                await client.names(f"/{self.folder}", **about)
+                await client.list_directory(f"/{self.folder}", **about)
             elif draw < self.load.ledgers + self.load.lists + self.load.reads and self.files:
                 await self.read(client, self.rng.choice(self.files), about)
             else:
@@ -183,7 +187,7 @@
         await asyncio.sleep(event.seconds)
         clients_of[event.target].rate_factor = 1.0
     elif event.verb == "replace":
-        await fleet.replace(event.target, event.kind)
+        await fleet.replace_node(event.target, event.kind)
     elif event.verb == "reload":
         routes = json.loads((DAYS / f"{event.kind}.json").read_text())
         numbers = sorted(fleet.edges) if event.target == "edges" else [int(event.target[4:])]
@@ -194,12 +198,12 @@
         if event.verb == "kill":
             getattr(fleet, f"kill_{part}")(name)
         elif part == "edge":
-            await fleet.edge(name)
+            await fleet.start_edge(name)
         else:
-            await fleet.node(name, fleet.cell_of(name))
+            await fleet.start_node(name, fleet.cell_of(name))
 
 
-async def play(fleet, script: Script, load: Load, seed: int):
+async def run_day(fleet, script: Script, load: Load, seed: int):
     """Plays a day on a fleet that is up; returned when the last answer has come."""
     loop, rng = fleet.loop, random.Random(seed)
     begun, numbers = loop.time(), sorted(fleet.edges)
--- a/rushmux/standins/scenario_fleet.py
+++ b/rushmux/standins/scenario_fleet.py
@@ -63,50 +63,52 @@
             "--planners": ",".join(addresses),
             "--data": self.folder / "data" / name / "planner.db",
         }
-        self.planners[name] = part = await self.begin(
+        self.planners[name] = part = await self.start_process(
             name, "planner", *_flatten(arguments), *(["--found"] if found else [])
         )
         self.proxies.targets[name] = part.port
 
-    async def _planner_addresses(self, name: str) -> str:
+    async def _proxied_planner_addresses(self, name: str) -> str:
         """Where a process reaches the planners: through proxies."""
         return ",".join([f"{HOST}:{await self.proxies.port(name, other)}" for other in self.planner_names])
 
-    async def node(self, name: str, cell: int, cold: bool = True) -> Part:
+    async def start_node(self, name: str, cell: int, cold: bool = True) -> Part:
         """Starts a node; edges reach it through a proxy."""
         arguments = {
             "--deployment": self.file,
             "--name": name,
             "--cell": cell,
             "--unit": self.unit,
-            "--lists": await self._planner_addresses(name),
+            "--lists": await self._proxied_planner_addresses(name),
             "--tell": f"{HOST}:{await self.proxies.port('edges', name)}",
             "--data": self.folder / "data" / f"{name}.db",
         }
-        part = await self.begin(name, "node", *_flatten(arguments), "--obeys", *(() if cold else ("--warm",)))
+        part = await self.start_process(
+            name, "node", *_flatten(arguments), "--obeys", *(() if cold else ("--warm",))
+        )
         part.cell, self.nodes[name] = cell, part
         self.proxies.targets[name] = part.port
         return part
 
-    async def edge(self, number: int, port: int = 0) -> Part:
+    async def start_edge(self, number: int, port: int = 0) -> Part:
         """Starts an edge, on the port that it had before where one is given."""
         name = f"{EDGE}{number}"
         arguments = {
             "--listen": f"{HOST}:{port}",
             "--deployment": self.file,
             "--number": number,
-            "--lists": await self._planner_addresses(name),
+            "--lists": await self._proxied_planner_addresses(name),
             "--data": self.folder / "data" / name,
         }
-        self.edges[number] = await self.begin(name, "edge", *_flatten(arguments))
+        self.edges[number] = await self.start_process(name, "edge", *_flatten(arguments))
         return self.edges[number]
 
-    async def up(self, nodes: int, edges: int) -> None:
+    async def start(self, nodes: int, edges: int) -> None:
         """Starts everything, nodes warm, and waits until every edge serves under the policy."""
         self.cells = nodes
         await asyncio.gather(*(self.start_planner(name, True) for name in self.planner_names))
-        await asyncio.gather(*(self.node(f"{NODE}{cell}", cell, cold=False) for cell in range(nodes)))
-        await asyncio.gather(*(self.edge(number) for number in range(edges)))
+        await asyncio.gather(*(self.start_node(f"{NODE}{cell}", cell, cold=False) for cell in range(nodes)))
+        await asyncio.gather(*(self.start_edge(number) for number in range(edges)))
         async with asyncio.timeout(START_TIMEOUT):
             while not all(self._is_serving(part) for part in self.edges.values()):
                 await asyncio.sleep(POLL_INTERVAL)
@@ -115,17 +117,17 @@
         rows = self._policy_states(edge)
         return any(row["serves"] and not row["narrow"] for row in rows)
 
-    async def down(self) -> None:
+    async def stop(self) -> None:
         """Ends everything, also what was stopped."""
         for parts in (self.edges.values(), self.nodes.values(), self.planners.values()):
             for part in parts:
                 if part.process.returncode is None:
                     part.process.send_signal(signal.SIGCONT)
-            await asyncio.gather(*(self.end_one(part) for part in parts))
+            await asyncio.gather(*(self.stop_process(part) for part in parts))
         await self.proxies.close()
 
     @property
-    def places(self) -> tuple[tuple[str, int], ...]:
+    def planner_addresses(self) -> tuple[tuple[str, int], ...]:
         """The planners' addresses, as operators use them."""
         return tuple((HOST, part.port) for part in self.planners.values())
 
@@ -270,10 +272,10 @@
         if name.startswith(PLANNER):
             await self.start_planner(name)
         elif name.startswith(NODE):
-            await self.node(name, _number(name, NODE))
+            await self.start_node(name, _number(name, NODE))
         else:
             number = _number(name, EDGE)
-            await self.edge(number, self.edges[number].port)
+            await self.start_edge(number, self.edges[number].port)
 
     async def _do_stop(self, word: str, seconds: str) -> None:
         part = self._part(await self._resolve(word))
--- a/rushmux/standins/write_history.py
+++ b/rushmux/standins/write_history.py
@@ -228,7 +228,7 @@
     async def _restart(self) -> None:
         await self._fleet.sleep(self._rng.expovariate(1))
         self._fleet.log_disks[EDGE].append_errno = None
-        await self._fleet.edge(EDGE)
+        await self._fleet.start_edge(EDGE)
         self._observe_discards()
         await self._open_files()
 
--- a/tests/buffer/conftest.py
+++ b/tests/buffer/conftest.py
@@ -24,7 +24,7 @@
     """Runs a story on a fleet of the deployment; returns the fleet and the story's result."""
 
     def played(story, seed=3, **settings):
-        return fleet.play(deployment.build(raw), seed, story, **{"nodes": 4, "unit": 0.004, **settings})
+        return fleet.run_fleet(deployment.build(raw), seed, story, **{"nodes": 4, "unit": 0.004, **settings})
 
     return played
 
--- a/tests/buffer/test_crashes.py
+++ b/tests/buffer/test_crashes.py
@@ -38,7 +38,7 @@
 
 
 def test_no_answered_flush_is_lost_without_a_log(play):
-    assert find_breaches(play, range(40, 60), logs=False) == []
+    assert find_breaches(play, range(40, 60), buffer_logs=False) == []
 
 
 def test_a_flush_answered_too_early_is_detected(play, monkeypatch):
--- a/tests/buffer/test_discarded_writes.py
+++ b/tests/buffer/test_discarded_writes.py
@@ -44,7 +44,7 @@
     """Kills edge 0, restarts it after the nodes' fault, and waits until it has recovered."""
     fleet.kill_edge(0)
     await fleet.sleep(FAULT_TIME + RECOVERY_TIME)
-    await fleet.edge(0)
+    await fleet.start_edge(0)
     await fleet.sleep(RECOVERY_TIME)
 
 
@@ -113,7 +113,7 @@
         fleet.kill_edge(0)
         await barrier
         await fleet.sleep(FAULT_TIME + RECOVERY_TIME)
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         await fleet.sleep(RECOVERY_TIME)
         return [await two.get(f"/heredia/{name}") for name in ("first", "second")]
 
@@ -131,7 +131,7 @@
         await fleet.sleep(FAULT_TIME)
         await one.ask(sftp.Write, handle, 9, b"-again")
         fleet.kill_edge(0)
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         await fleet.sleep(RECOVERY_TIME)
         return was_told_of_loss, await two.get("/heredia/a")
 
@@ -152,7 +152,7 @@
         await files.fsync(one, handle)
         await one.ask(sftp.Write, handle, 5, b"-second")
         fleet.kill_edge(0)
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         await fleet.sleep(RECOVERY_TIME)
         return await two.get("/heredia/a")
 
@@ -211,14 +211,14 @@
         handle = await files.open(two, "/heredia/below")
         await two.ask(sftp.Write, handle, 0, b"other")
         await two.ask(sftp.Close, handle)
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         await wait_for_discards(fleet, 2)
         one = await fleet.client(0)
         handles = [await files.open(one, f"/heredia/{name}") for name in ("below", "above")]
         answers = [await is_told_of_loss(one, files, handle) for handle in handles]
         fleet.kill_edge(0)  # before another flush, which would begin a new epoch of the log
         await two.ask(sftp.Remove, "/heredia/below")
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         await fleet.sleep(RECOVERY_TIME)
         return answers, await two.get("/heredia/above")
 
@@ -293,7 +293,7 @@
     async def story(fleet):
         fleet.kill_edge(0)
         fleet.log_disks[0] = CrashingDisk(crash_at, written_share, lambda: fleet.kill_edge(0))
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         await fleet.sleep(RECOVERY_TIME)
         one, two = await fleet.client(0), await fleet.client(1)
         handles = {name: await files.open(one, f"/heredia/{name}") for name in names}
@@ -316,7 +316,7 @@
             lost |= {name for name in names if name in answer}
         await fleet.sleep(FAULT_TIME + RECOVERY_TIME)
         fleet.log_disks[0].appends_left = 0  # no further crash
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         await fleet.sleep(RECOVERY_TIME)
         one = await fleet.client(0)
         for name in names:
--- a/tests/buffer/test_log_faults.py
+++ b/tests/buffer/test_log_faults.py
@@ -53,9 +53,9 @@
         fleet.kill_edge(0)
         (name,) = fleet.log_disks[0].names()
         damage(fleet.log_disks[0].files[name])
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         restarted = await fleet.client(0)
-        await restarted.names("/heredia")
+        await restarted.list_directory("/heredia")
         await fleet.sleep(1)
         return await two.get("/heredia/a"), await two.get("/heredia/b"), sorted(fleet.log_disks[0].files)
 
@@ -75,7 +75,7 @@
         handle = await files.open(two, "/heredia/a")
         await two.ask(sftp.Write, handle, 5, b"two")
         fleet.kill_edge(1)
-        await fleet.edge(1)
+        await fleet.start_edge(1)
         two = await fleet.client(1)
         return await two.get("/heredia/a")
 
@@ -99,7 +99,7 @@
                 await files.fsync(one, handle)
         fleet.kill_edge(0)
         await fleet.sleep(25)
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         await fleet.sleep(5)
         return [await two.get(f"/heredia/{name}") for name in "ab"]
 
--- a/tests/buffer/test_node_faults.py
+++ b/tests/buffer/test_node_faults.py
@@ -49,7 +49,7 @@
         await fleet.inject_fault(other, "drain")
         flushing = asyncio.ensure_future(files.fsync(one, handle))
         await fleet.sleep(0.01)
-        await fleet.replace(other, "new")
+        await fleet.replace_node(other, "new")
         await flushing
         await fleet.sleep(4)  # until the endpoint list has the new node
         return [await reads_own_bytes(two, at) for at in range(20)]
@@ -103,7 +103,7 @@
 
 def test_a_day_of_faults_breaks_no_rule(play, raw):
     async def story(fleet):
-        await scenario.play(fleet, script.load("bad"), scenario.Load(part=0.4), 5)
+        await scenario.run_day(fleet, script.load("bad"), scenario.Load(nominal_share=0.4), 5)
 
     fleet, _ = play(story, nodes=6, edges=3, unit=0.02)
     for verdict in Checker(fleet.all_records(), deployment.build(raw), 0.005).verdicts():
--- a/tests/buffer/test_writeback.py
+++ b/tests/buffer/test_writeback.py
@@ -80,7 +80,7 @@
         fleet.kill_edge(0)
         return await two.get("/heredia/a")
 
-    assert play(story, logs=False)[1] == b"flushed" * 9_000
+    assert play(story, buffer_logs=False)[1] == b"flushed" * 9_000
 
 
 def test_another_session_truncates_renames_and_removes_a_dirty_file(play, files):
@@ -187,4 +187,4 @@
         await part.process.spawn(part.program.close())
         return await far.get("/heredia/a")
 
-    assert play(story, logs=False)[1] == b"in time"
+    assert play(story, buffer_logs=False)[1] == b"in time"
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -25,7 +25,7 @@
     """Runs `steps(fleet)` on a virtual fleet of the deployment; returns the fleet and the steps' result."""
 
     def run(steps, seed=3, **settings):
-        return fleet.play(build(raw), seed, steps, **settings)
+        return fleet.run_fleet(build(raw), seed, steps, **settings)
 
     return run
 
--- a/tests/edge/test_files.py
+++ b/tests/edge/test_files.py
@@ -58,7 +58,7 @@
                 for place in range(12)
             )
         )
-        return sorted(await clients[0].names("/heredia/d"))
+        return sorted(await clients[0].list_directory("/heredia/d"))
 
     assert run_fleet(steps, unit=0.003)[1] == sorted(
         f"{number}-{place}" for number in (0, 1) for place in range(12)
@@ -94,7 +94,7 @@
             await one.ask(sftp.Rename, "/limon/a", "/limon/b")
         texts = b"".join(len(text).to_bytes(4, "big") + text for text in (b"/limon/a", b"/limon/b"))
         await one.ask(sftp.Extended, "posix-rename@openssh.com", texts)
-        assert await one.names("/limon") == ["b"] and await one.get("/limon/b") == b"first"
+        assert await one.list_directory("/limon") == ["b"] and await one.get("/limon/b") == b"first"
         await one.ask(sftp.MkDir, "/limon/d", NO_ATTRIBUTES)
         await one.ask(sftp.Rename, "/limon/b", "/limon/d/c")
         with raises_status(sftp.FAILURE):
@@ -105,7 +105,7 @@
             await one.ask(sftp.Rename, "/limon/d/c", "/heredia/c")
         await one.ask(sftp.Remove, "/limon/d/c")
         await one.ask(sftp.RmDir, "/limon/d")
-        return await one.names("/limon")
+        return await one.list_directory("/limon")
 
     assert run_fleet(steps)[1] == []
 
@@ -140,7 +140,7 @@
                     for number in range(first, first + 30)
                 )
             )
-        return await one.names("/limon")
+        return await one.list_directory("/limon")
 
     assert run_fleet(steps, unit=0.003)[1] == [f"{number:03}" for number in range(120)]
 
@@ -164,6 +164,6 @@
         with raises_status(sftp.PERMISSION_DENIED):
             await one.put("/limon/a", b"")
         await two.put("/limon/a", b"there")
-        return "limon" in await one.names("/")
+        return "limon" in await one.list_directory("/")
 
     assert run_fleet(steps)[1] is False
--- a/tests/edge/test_hard_cases.py
+++ b/tests/edge/test_hard_cases.py
@@ -70,7 +70,7 @@
         fleet.kill_edge(0)
         results = await asyncio.gather(*tasks)
         assert await two.get("/heredia/a") == b"before" * 1_000
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         await fleet.sleep(2)
         again = await fleet.client(0)
         for number, result in enumerate(results):
@@ -84,7 +84,7 @@
 
 def test_half_of_the_nodes_restart_cold_at_once_under_load(run_checked_fleet):
     async def steps(fleet):
-        await scenario.play(
+        await scenario.run_day(
             fleet,
             script.parse("""
             length 20
@@ -94,7 +94,7 @@
             at 5 start node0
             at 5 start node1
             at 5 start node2"""),
-            scenario.Load(part=1.5),
+            scenario.Load(nominal_share=1.5),
             7,
         )
 
@@ -110,7 +110,7 @@
 
 def test_a_drain_notice_arrives_late(run_checked_fleet):
     async def steps(fleet):
-        await scenario.play(
+        await scenario.run_day(
             fleet,
             script.parse("""
             length 12
@@ -129,8 +129,11 @@
 
 def test_a_surge_of_one_folder_leaves_the_others_their_reserves(run_checked_fleet, raw):
     async def steps(fleet):
-        await scenario.play(
-            fleet, script.parse("length 15\nat 3 surge caribe times 25 for 10"), scenario.Load(part=0.6), 9
+        await scenario.run_day(
+            fleet,
+            script.parse("length 15\nat 3 surge caribe times 25 for 10"),
+            scenario.Load(nominal_share=0.6),
+            9,
         )
 
     fleet, _ = run_checked_fleet(steps, nodes=4, edges=3, unit=0.02)
@@ -219,9 +222,9 @@
     async def steps(fleet):
         one = await fleet.client(0)
         result = await outcome(one.put("/limon/a", b"x"))
-        return result, await one.names("/limon")
+        return result, await one.list_directory("/limon")
 
-    fleet, result = run_fleet(steps, decisions=FaultyScheduler)
+    fleet, result = run_fleet(steps, scheduler_type=FaultyScheduler)
     assert result == ("terminated", ["a"])
     assert any(row["event"] == "scheduler.fault" and "RuntimeError" in row["exception"] for row in fleet.logs)
 
@@ -238,7 +241,7 @@
         one, started_at = await fleet.client(0), fleet.loop.time()
         return await outcome(one.ask(sftp.Stat, "/limon/a")), fleet.loop.time() - started_at
 
-    fleet, (result, elapsed) = run_fleet(steps, decisions=ForgetfulScheduler)
+    fleet, (result, elapsed) = run_fleet(steps, scheduler_type=ForgetfulScheduler)
     assert result == "terminated" and elapsed < 2.1
     assert any(row["event"] == "scheduler.overrun" for row in fleet.logs)
 
@@ -284,7 +287,7 @@
 
 def test_a_run_is_reproducible_by_its_seed(run_fleet):
     async def steps(fleet):
-        await scenario.play(fleet, script.load("short"), scenario.Load(part=0.5), 3)
+        await scenario.run_day(fleet, script.load("short"), scenario.Load(nominal_share=0.5), 3)
 
     one, two = (run_fleet(steps, nodes=4, edges=2)[0].all_records() for _ in range(2))
     assert one == two and len(one) > 3_000
@@ -292,7 +295,7 @@
 
 def test_the_bad_day_keeps_every_rule(run_checked_fleet, raw):
     async def steps(fleet):
-        await scenario.play(fleet, script.load("bad"), scenario.Load(part=0.6), 5)
+        await scenario.run_day(fleet, script.load("bad"), scenario.Load(nominal_share=0.6), 5)
 
     fleet, _ = run_checked_fleet(steps, nodes=6, edges=3, unit=0.02)
     service = report.ServiceStatistics(fleet.all_records(), build(raw))
@@ -316,7 +319,7 @@
             )
             await fleet.sleep(0.1)
 
-    run_fleet(steps, decisions=RecordingScheduler)
+    run_fleet(steps, scheduler_type=RecordingScheduler)
     assert received[0][1] == 0  # no usage period had ended yet
     assert max(use for _, use, _ in received) > 50 and any(others > 0 for _, _, others in received)
 
--- a/tests/edge/test_hostile.py
+++ b/tests/edge/test_hostile.py
@@ -180,7 +180,7 @@
         kept = [await fleet.client(0) for _ in range(2)]
         with pytest.raises((ConnectionClosedError, OSError)):
             await fleet.client(0)
-        return await kept[0].names("/limon")
+        return await kept[0].list_directory("/limon")
 
     assert run_fleet(steps)[1] == []
 
--- a/tests/edge/test_policy_client.py
+++ b/tests/edge/test_policy_client.py
@@ -124,11 +124,11 @@
         fleet = scenario_fleet.ScenarioFleet(scenario, file, build(raw), tmp_path, 3)
 
         async def run_command(*args):
-            place = ",".join(f"{host}:{port}" for host, port in fleet.places)
+            place = ",".join(f"{host}:{port}" for host, port in fleet.planner_addresses)
             return await asyncio.to_thread(CliRunner().invoke, main, ["policy", *args, "--planner", place])
 
         try:
-            await fleet.up(1, 2)
+            await fleet.start(1, 2)
             other = copy.deepcopy(raw)
             other["plans"]["basico"].update(limit=44, burst=99)
             (tmp_path / "other.json").write_text(json.dumps(other))
@@ -157,7 +157,7 @@
                 await run_command("diff", "--past", "2"),
             ]
         finally:
-            await fleet.down()
+            await fleet.stop()
 
     results = asyncio.run(play())
     diff, proposed, rejected, outdated, reverted, withdraw, forget, show, text, history, watch, past = results
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -22,12 +22,12 @@
     async def drive_running_edge():
         fleet = ProcessFleet(path, deployment.load(path), tmp_path, 5, unit=0.001)
         try:
-            await fleet.up(2, 1)
+            await fleet.start(2, 1)
             return await asyncio.to_thread(
                 load.drive, experiment, 1, 2.0, [fleet.edges[0].address], ["limon", "golfo"]
             )
         finally:
-            await fleet.down()
+            await fleet.stop()
 
     lines, all_answered = asyncio.run(drive_running_edge())
     assert all_answered and "succeeded" in lines[0] and "lost" not in lines[0]
--- a/tests/planner/test_hostile_messages.py
+++ b/tests/planner/test_hostile_messages.py
@@ -46,7 +46,7 @@
         async def main(loop):
             fleet = policy_fleet.PolicyFleet(loop, deployment, seed, tmp_path)
             fleet.log = log.to_list(fleet.logs, "debug")
-            await fleet.up(2, 2)
+            await fleet.start(2, 2)
             fleet.logs.clear()
             return await scenario(fleet)
 
@@ -99,7 +99,9 @@
     async def scenario(fleet):
         name, rng = leader(fleet), random.Random(seed)
         for _ in range(SESSIONS):
-            await send(rng.choice(fleet.places), random_session(rng, rng.choice(PEERS), TO_PLANNERS))
+            await send(
+                rng.choice(fleet.planner_addresses), random_session(rng, rng.choice(PEERS), TO_PLANNERS)
+            )
         await fleet.sleep(2)
         await assert_serves(fleet, name)
 
@@ -119,11 +121,11 @@
             node="node7", host="127.0.0.1", port=1, condition="ready", start="1", age=2**64 - 1
         )
         report = frame(messages.Message(report=messages.Report(entry=entry)))
-        for address in fleet.places:
+        for address in fleet.planner_addresses:
             await send(address, hello("node7") + report)
         await assert_serves(fleet, name)
         fleet.kill_edge(0)
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         await fleet.sleep(5)
         assert len(fleet.edges[0].program.driver.endpoint_table.disk_space) == 2
 
@@ -141,7 +143,7 @@
         await fleet.send_policy_command("held", "propose", text=documents.serialize(raw))
         request = messages.PolicyAsk(member="edge1", ask=1, force=1, refused=2, against="\1" * 400_000)
         await send(
-            fleet.places[policy_fleet.PLANNERS.index(name)],
+            fleet.planner_addresses[policy_fleet.PLANNERS.index(name)],
             hello("edge1") + frame(messages.Message(policy_ask=request)),
         )
         await fleet.sleep(5)
@@ -173,7 +175,9 @@
         raw["plans"]["basico"].update(limit=40.0, burst=80.0)
         command = {"text": documents.serialize(raw), "client": "c", "n": 1, "by": "b", **fields}
         with pytest.raises(CommandRejectedError) as refusal:
-            answer = await admin_client.send_policy_command(fleet.places, command.pop("verb"), **command)
+            answer = await admin_client.send_policy_command(
+                fleet.planner_addresses, command.pop("verb"), **command
+            )
             raise CommandRejectedError(answer.said)
         assert not isinstance(refusal.value, PlannerUnavailableError)
         assert "is staged" not in str(refusal.value)
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -23,7 +23,7 @@
 from rushmux.simulation.loop import run
 from rushmux.standins.checker import Checker
 from rushmux.standins.client import ConnectionClosedError, StatusError
-from rushmux.standins.fleet import play
+from rushmux.standins.fleet import run_fleet as run_virtual_fleet
 
 EXAMPLE = json.loads(Path(deployment.__file__).with_name("example.json").read_text())
 DEPLOYMENT = deployment.build(copy.deepcopy(EXAMPLE))
@@ -34,7 +34,7 @@
     """Runs a scenario on a fleet with a planner, and checks the recorded history."""
 
     def run_scenario(scenario, seed=3, nodes=4, edges=2, **settings):
-        fleet, result = play(
+        fleet, result = run_virtual_fleet(
             DEPLOYMENT, seed, scenario, nodes, edges, planner=tmp_path / "planner.db", **settings
         )
         assert not Checker(fleet.all_records(), DEPLOYMENT, 0.005).breaches()
@@ -63,7 +63,7 @@
 
 
 def state_of(fleet, name):
-    return fleet.lists.program.state.membership.members[name].state
+    return fleet.endpoint_source.program.state.membership.members[name].state
 
 
 def test_edges_are_notified_when_a_node_dies_and_when_it_is_back(run_fleet):
@@ -72,7 +72,7 @@
         fleet.kill_node("node1")
         died = fleet.loop.time()
         await fleet.sleep(4)
-        await fleet.node("node1", 1)
+        await fleet.start_node("node1", 1)
         await fleet.sleep(3)
         return died
 
@@ -99,17 +99,19 @@
     async def scenario(fleet):
         client = await fleet.client(0)
         await fleet.sleep(2)
-        answer = await admin_client.send_fleet_command(fleet.lists.address, "drain", "node2")
+        answer = await admin_client.send_fleet_command(fleet.endpoint_source.address, "drain", "node2")
         assert {row.member: row.condition for row in answer.members}["node2"] == "draining"
         for number in range(10):
             await client.put(f"/{folder_elsewhere}/{number}", b"x" * 40_000)
         await wait_until(fleet, lambda: state_of(fleet, "node2") == "drained")
         with pytest.raises(CommandRejectedError) as error:
-            await admin_client.send_fleet_command(fleet.lists.address, "drain", "node9")
-        await admin_client.send_fleet_command(fleet.lists.address, "undrain", "node2")
+            await admin_client.send_fleet_command(fleet.endpoint_source.address, "drain", "node9")
+        await admin_client.send_fleet_command(fleet.endpoint_source.address, "undrain", "node2")
         await fleet.sleep(1)
         return str(error.value), "\n".join(
-            admin_client.format_fleet(await admin_client.send_fleet_command(fleet.lists.address, "show"))
+            admin_client.format_fleet(
+                await admin_client.send_fleet_command(fleet.endpoint_source.address, "show")
+            )
         )
 
     fleet, (error, text) = run_fleet(scenario)
@@ -119,19 +121,22 @@
 
 def test_drains_and_sessions_survive_a_killed_planner(run_fleet):
     async def scenario(fleet):
-        client, port = await fleet.client(0), fleet.lists.port
+        client, port = await fleet.client(0), fleet.endpoint_source.port
         await fleet.sleep(2)
-        await admin_client.send_fleet_command(fleet.lists.address, "drain", "node3")
+        await admin_client.send_fleet_command(fleet.endpoint_source.address, "drain", "node3")
         await fleet.sleep(0.2)
-        version = fleet.lists.program.publisher.version
+        version = fleet.endpoint_source.program.publisher.version
         fleet.kill_planner()
         for number in range(20):
             await client.put(f"/limon/{number}", b"y" * 20_000)
             await fleet.sleep(0.3)
-        await fleet.plan(4, port)
+        await fleet.start_single_planner(4, port)
         await fleet.sleep(4)
         assert await client.get("/limon/7") == b"y" * 20_000
-        assert fleet.lists.program.store.term == 2 and fleet.lists.program.publisher.version >= version
+        assert (
+            fleet.endpoint_source.program.store.term == 2
+            and fleet.endpoint_source.program.publisher.version >= version
+        )
         return state_of(fleet, "node3")
 
     fleet, drained = run_fleet(scenario)
@@ -154,14 +159,14 @@
 def test_a_full_disk_is_logged_and_edges_are_notified_nevertheless(run_fleet):
     async def scenario(fleet):
         await fleet.sleep(2)
-        store = fleet.lists.program.store
+        store = fleet.endpoint_source.program.store
         working_save, store.save = store.save, lambda *_: (_ for _ in ()).throw(OSError("no room"))
         fleet.kill_node("node1")
         await fleet.sleep(3)
         state = published_states(fleet, "node1")[-1][1]
         store.save = working_save
         await fleet.sleep(1)
-        return state, fleet.lists.program.publisher.unsaved
+        return state, fleet.endpoint_source.program.publisher.unsaved
 
     fleet, (state, unsaved) = run_fleet(scenario)
     assert state == "gone" and unsaved == {}
@@ -175,14 +180,14 @@
         await fleet.sleep(3)
         fleet.kill_planner()
         fleet.kill_edge(0)
-        await fleet.edge(0)
+        await fleet.start_edge(0)
         new_client = await fleet.client(0)
         read = await new_client.get("/limon/a")
         # A damaged file counts as none, and is logged.
         fleet.kill_edge(1)
         path = tmp_path / "edge1.list"
         path.write_bytes(path.read_bytes()[:-3] + b"???")
-        await fleet.edge(1)
+        await fleet.start_edge(1)
         client_without_list = await fleet.client(1)
         try:
             await client_without_list.get("/limon/a")
@@ -190,7 +195,7 @@
         except (StatusError, ConnectionClosedError) as error:
             return read, type(error).__name__
 
-    fleet, (read, outcome_without_list) = run_fleet(scenario, lists=tmp_path)
+    fleet, (read, outcome_without_list) = run_fleet(scenario, endpoint_cache_folder=tmp_path)
     assert read == b"kept" * 100 and outcome_without_list == "StatusError"
     assert any(row["event"] == "endpoint_cache.loaded" for row in fleet.logs)
     assert any(
--- a/tests/planner/test_planner_process.py
+++ b/tests/planner/test_planner_process.py
@@ -29,8 +29,8 @@
     async def scenario():
         fleet = ProcessFleet(path, loaded_deployment, tmp_path, 5, records=True, unit=0.004, planner=True)
         try:
-            await fleet.up(3, 2)
-            port = fleet.lists.port
+            await fleet.start(3, 2)
+            port = fleet.endpoint_source.port
             address = f"127.0.0.1:{port}"
 
             async def killer():
@@ -38,10 +38,10 @@
                     await asyncio.sleep(2.5)
                     fleet.kill_planner()
                     await asyncio.sleep(0.7)
-                    await fleet.plan(port)
+                    await fleet.start_single_planner(port)
 
             task = asyncio.ensure_future(killer())
-            await scenarios.play(fleet, events, scenarios.Load(0.4), 5)
+            await scenarios.run_day(fleet, events, scenarios.Load(0.4), 5)
             await task
             # The last start has restored the fleet's state.
             await asyncio.sleep(2.5)
@@ -51,7 +51,7 @@
             )
             return fleet, shown, drained
         finally:
-            await fleet.down()
+            await fleet.stop()
 
     fleet, shown, drained = asyncio.run(scenario())
     records = fleet.all_records()
--- a/tests/planner/test_quota_client.py
+++ b/tests/planner/test_quota_client.py
@@ -10,7 +10,7 @@
 from rushmux.nodewire import messages
 from rushmux.settings.deployment import DeploymentError, build
 from rushmux.standins.checker import Checker
-from rushmux.standins.fleet import play
+from rushmux.standins.fleet import run_fleet as run_virtual_fleet
 
 
 def breaches(records, deployment):
@@ -61,7 +61,7 @@
     """Runs a scenario on a fleet with a planner and quotas."""
 
     def run_scenario(scenario, seed=3):
-        return play(
+        return run_virtual_fleet(
             quota_benchmark.deployment(True),
             seed,
             scenario,
@@ -69,7 +69,7 @@
             quota_benchmark.EDGES,
             planner=tmp_path / "p",
             level="error",
-            logs=False,
+            buffer_logs=False,
         )
 
     return run_scenario
@@ -108,7 +108,7 @@
         ):
             listings = []
             client = PlannerClient(
-                fleet.lists.address,
+                fleet.endpoint_source.address,
                 messages.Hello(version=1, peer="edge9", start="x"),
                 edge.rng,
                 edge.log,
--- a/tests/planner/test_replicated_policy.py
+++ b/tests/planner/test_replicated_policy.py
@@ -29,7 +29,7 @@
 
         async def main(loop):
             fleet = policy_fleet.PolicyFleet(loop, deployment, 5, tmp_path)
-            await fleet.up(1, edges)
+            await fleet.start(1, edges)
             return await scenario(fleet)
 
         return run(main, 5)
@@ -90,16 +90,18 @@
     async def scenario(fleet):
         text = documents.serialize(fault_scenario.raw_deployment(fault_scenario.parse("edges 2\n")))
         fields = {"client": "anna", "n": 1, "by": "anna", "text": text}
-        first = await admin_client.send_policy_command(fleet.places, "propose", **fields)
-        again = await admin_client.send_policy_command(fleet.places, "propose", **fields)
+        first = await admin_client.send_policy_command(fleet.planner_addresses, "propose", **fields)
+        again = await admin_client.send_policy_command(fleet.planner_addresses, "propose", **fields)
         assert first.said == again.said == "2 is staged"
         await fleet.sleep(4)
         assert (
-            await admin_client.send_policy_command(fleet.places, "propose", **fields)
+            await admin_client.send_policy_command(fleet.planner_addresses, "propose", **fields)
         ).said == "2 is staged"
-        other = await admin_client.send_policy_command(fleet.places, "propose", **{**fields, "n": 2})
+        other = await admin_client.send_policy_command(
+            fleet.planner_addresses, "propose", **{**fields, "n": 2}
+        )
         assert other.said == "3 is staged"
-        older = await admin_client.send_policy_command(fleet.places, "propose", **fields)
+        older = await admin_client.send_policy_command(fleet.planner_addresses, "propose", **fields)
         assert "older than 2" in older.said
 
     run_fleet(scenario)
@@ -117,24 +119,24 @@
 def test_a_command_that_cannot_be_read_is_rejected(run_fleet, verb, fields, message):
     async def scenario(fleet):
         with pytest.raises(CommandRejectedError, match=message):
-            await admin_client.send_policy_command(fleet.places, verb, **fields)
+            await admin_client.send_policy_command(fleet.planner_addresses, verb, **fields)
 
     run_fleet(scenario)
 
 
 def test_drains_survive_a_restart_of_all_planners(run_fleet):
     async def scenario(fleet):
-        answer = await admin_client.send_fleet_command(fleet.places, "drain", "node0")
+        answer = await admin_client.send_fleet_command(fleet.planner_addresses, "drain", "node0")
         assert {row.member: row.condition for row in answer.members}["node0"] in ("draining", "drained")
         for name in list(fleet.planners):
             fleet.kill_planner_by_name(name)
         for name in policy_fleet.PLANNERS:
             await fleet.start_planner(name)
         await fleet.sleep(8)
-        answer = await admin_client.send_fleet_command(fleet.places, "show")
+        answer = await admin_client.send_fleet_command(fleet.planner_addresses, "show")
         assert {row.member: row.condition for row in answer.members}["node0"] in ("draining", "drained")
         with pytest.raises(CommandRejectedError, match="no node"):
-            await admin_client.send_fleet_command(fleet.places, "drain", "node7")
+            await admin_client.send_fleet_command(fleet.planner_addresses, "drain", "node7")
 
     run_fleet(scenario)
 
@@ -144,7 +146,9 @@
         name = next(name for name in policy_fleet.PLANNERS if name != leader(fleet))
         fleet.kill_planner_by_name(name)
         for number in range(260):  # enough entries to compact the log
-            await admin_client.send_fleet_command(fleet.places, ("drain", "undrain")[number % 2], "node0")
+            await admin_client.send_fleet_command(
+                fleet.planner_addresses, ("drain", "undrain")[number % 2], "node0"
+            )
         assert fleet.planners[leader(fleet)].program.replicated_log.node.snapshot.index > 100
         await fleet.start_planner(name)
         await propose(fleet, "down", 40.0)
@@ -165,7 +169,7 @@
         name = leader(fleet)
         hello = messages.Hello(version=VERSION, peer="edge9", start="x")
         request = messages.Ask(ask=1, wants=[messages.Want(folder="caribe", part=-1.0)])
-        address = fleet.places[policy_fleet.PLANNERS.index(name)]
+        address = fleet.planner_addresses[policy_fleet.PLANNERS.index(name)]
         reader, writer = await asyncio.open_connection(*address)
         writer.write(frame(messages.Message(hello=hello)) + frame(messages.Message(ask=request)))
         async with asyncio.timeout(5):
--- a/tests/routes/test_reload.py
+++ b/tests/routes/test_reload.py
@@ -48,7 +48,7 @@
             await asyncio.gather(*tasks)
             return outcome
 
-        fleet, outcome = fleets.play(built, seed, scenario, nodes=4, edges=1, unit=0.004)
+        fleet, outcome = fleets.run_fleet(built, seed, scenario, nodes=4, edges=1, unit=0.004)
         breaches = Checker(fleet.all_records(), built, 0.005).breaches()
         assert not breaches
         return fleet, outcome
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -135,7 +135,7 @@
 
     async def main(loop):
         fleet = policy_fleet.PolicyFleet(loop, deployment, 5, tmp_path)
-        await fleet.up(1, 2)
+        await fleet.start(1, 2)
         failing_until = loop.time() + 5
 
         def fail_for_a_while(self, *values):
