--- a/rushmux/edge/openfile.py
+++ b/rushmux/edge/openfile.py
@@ -69,7 +69,7 @@
                 since = self.loop.time()
             else:
                 return _overlay_buffered(data, offset, buffered)
-        raise RequestRejectedError(sftp.FAILURE, "an object of this file is missing from its node")
+        raise RequestRejectedError(sftp.FAILURE, "an object of this file is not on its node")
 
     def _parts(self, offset: int, length: int) -> list[BlockPart]:
         block_size, blocks = self.view.file.block_size, self.view.blocks
