--- a/rushmux/cli/lab.py
+++ b/rushmux/cli/lab.py
@@ -225,7 +225,7 @@
     loaded = _load_experiment(experiment)
     try:
         result = loads.drive(loaded, seed, seconds, edges, folders)
-    except (OSError, loads.NotServedError) as error:
+    except (OSError, loads.LoadTargetError) as error:
         raise click.ClickException(str(error)) from error
     click.echo("\n".join(result.lines))
     sys.exit(0 if result.all_answered else 1)
--- a/rushmux/lab/load.py
+++ b/rushmux/lab/load.py
@@ -35,7 +35,7 @@
 """Host and port."""
 
 
-class NotServedError(LabError):
+class LoadTargetError(LabError):
     """No edge takes a session, or no folder a file.
 
     Attributes:
@@ -88,7 +88,7 @@
     try:
         return [await Client(_ignore_record).connect(host, port) for _ in range(SESSIONS_PER_EDGE)]
     except (OSError, ConnectionClosedError) as error:
-        raise NotServedError(f"{host}:{port}", f"takes no session: {error}") from error
+        raise LoadTargetError(f"{host}:{port}", f"takes no session: {error}") from error
 
 
 def _ignore_record(*_values, **_fields) -> None:
@@ -116,7 +116,7 @@
                 try:
                     await client.put(path, b"x" * BYTES_PER_UNIT)
                 except (StatusError, ConnectionClosedError) as error:
-                    raise NotServedError(path, f"cannot be filed: {error}") from error
+                    raise LoadTargetError(path, f"cannot be filed: {error}") from error
                 self.known_files[folder].append(path)
 
     async def send_all(self, arrivals: Sequence[Arrival]) -> None:
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -35,6 +35,6 @@
 
 
 def test_an_unreachable_edge_is_named_in_the_error(make_experiment):
-    with pytest.raises(load.NotServedError) as error:
+    with pytest.raises(load.LoadTargetError) as error:
         load.drive(make_experiment(), 1, 1.0, [("127.0.0.1", 9)], ["limon"])
     assert "127.0.0.1:9" in str(error.value)
