--- a/rushmux/lab/model_check/__init__.py
+++ b/rushmux/lab/model_check/__init__.py
@@ -1,1 +1,1 @@
-"""Checks the verifier of routes against the real scheduler, in schedules within a deployment's bounds."""
+"""Model checking of the route verifier: runs the real scheduler in schedules within a deployment's bounds."""
--- a/rushmux/lab/model_check/deployments.py
+++ b/rushmux/lab/model_check/deployments.py
@@ -1,4 +1,4 @@
-"""Draws small deployments in which one bound is nearly reached or just passed."""
+"""Draws small deployments in which one bound is nearly reached or just exceeded."""
 
 import random
 from collections.abc import Callable
@@ -18,18 +18,18 @@
     Ticks,
 )
 
-REQUEST_CLASS, PLAN = "w", "p"  # the only ones of a drawn deployment
+REQUEST_CLASS, PLAN = "w", "p"  # names of the only request class and plan
 MAX_ATTEMPTS = 3
 OVERLOAD_WINDOW = 20_000  # ticks
 OVERLOAD_MULTIPLE = 2.5
 MAX_UNITS = 4.0
-DRAIN_MARGIN = 50  # ticks of grace that are to spare
-HEDGING_PROBABILITY = 0.8  # that a deployment drawn for it allows hedging
-AT_BOUND_PROBABILITY = 0.5  # that a deployment drawn for slow start lies at the bound itself
+DRAIN_MARGIN = 50  # ticks of drain grace beyond the minimum
+HEDGING_PROBABILITY = 0.8  # that a deployment near the hedging bound allows hedging
+AT_BOUND_PROBABILITY = 0.5  # that a deployment near the slow start bound differs from it by `excess` only
 
 
 class Boundary(StrEnum):
-    """The bound that a deployment is drawn near to."""
+    """The bound that a drawn deployment nearly reaches or just exceeds; the values appear in mismatches."""
 
     NETWORK_DELAY = "way"
     DEADLINE = "short"
@@ -43,7 +43,7 @@
 
 
 class DrawnDeployment(NamedTuple):
-    """A small deployment: one request class, one plan."""
+    """A small deployment with one request class and one plan."""
 
     boundary: Boundary
     bounds: Bounds
@@ -52,10 +52,10 @@
 
 @dataclass(slots=True)
 class _Parameters:
-    """What a deployment is made of; all but the drawn bound is well inside."""
+    """Parameters of a deployment; all bounds but the drawn one are kept with a wide margin."""
 
-    past: int
-    """Ticks, or units, that the drawn bound is passed by; negative: is missed by."""
+    excess: int
+    """Ticks or units by which the drawn bound is exceeded; negative: by which it is kept."""
     round_interval: Ticks
     network_delay: Ticks
     dial_timeout: Ticks
@@ -65,7 +65,7 @@
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window: Ticks = 200_000
     route: dict[str, Any] = field(default_factory=dict)
-    """Of the deployment file."""
+    """The fields of the route in the deployment file."""
     gateway_count: int = 2
     slow_start_units: float = 10.0
     restarts: int = 1
@@ -77,20 +77,20 @@
 
 
 def draw_deployment(generator: random.Random) -> DrawnDeployment:
-    """A deployment in which one bound is near, the others well inside."""
+    """Draws a deployment near one bound; the others are kept with a wide margin."""
     boundary = generator.choice(tuple(Boundary))
     parameters = _draw_parameters(generator)
-    draw_near = _DRAWS.get(boundary)
-    if draw_near is not None:
-        draw_near(parameters, generator)
+    draw_bound = _DRAWS.get(boundary)
+    if draw_bound is not None:
+        draw_bound(parameters, generator)
     request_class, plan = _request_class(parameters), _plan(parameters)
-    stated = [{"lane": REQUEST_CLASS, **parameters.route}]
-    routes = resolve.resolve(stated, {REQUEST_CLASS: request_class}, {PLAN: plan}, MAX_ATTEMPTS)
+    rows = [{"lane": REQUEST_CLASS, **parameters.route}]
+    routes = resolve.resolve(rows, {REQUEST_CLASS: request_class}, {PLAN: plan}, MAX_ATTEMPTS)
     settings = _settings(parameters, request_class, plan, routes)
     drain_margin = DRAIN_MARGIN
     grace = _least_drain_grace(parameters, routes)
     if boundary is Boundary.DRAIN_GRACE:
-        drain_margin = max(-grace, parameters.past)
+        drain_margin = max(-grace, parameters.excess)
     bounds = _bounds(parameters, settings, grace + drain_margin)
     if boundary is Boundary.SLOW_START:
         bounds = _near_overload(parameters, bounds, generator)
@@ -98,22 +98,22 @@
 
 
 def _draw_parameters(generator: random.Random) -> _Parameters:
-    past = generator.randrange(-3, 4)
+    excess = generator.randrange(-3, 4)
     round_interval = generator.randrange(4, 60) * 2
     network_delay = round_interval // 2 - generator.randrange(1, 3)
     dial_timeout = generator.choice((0, 300, 2_000))
     latency_objective = generator.randrange(20, 60) * 100
     deadline = latency_objective * 3 + 4 * round_interval
-    return _Parameters(past, round_interval, network_delay, dial_timeout, latency_objective, deadline)
+    return _Parameters(excess, round_interval, network_delay, dial_timeout, latency_objective, deadline)
 
 
 def _draw_network_delay(parameters: _Parameters, _generator: random.Random) -> None:
-    parameters.network_delay = max(0, parameters.round_interval // 2 + parameters.past)
+    parameters.network_delay = max(0, parameters.round_interval // 2 + parameters.excess)
 
 
 def _draw_deadline(parameters: _Parameters, _generator: random.Random) -> None:
-    least = 2 * parameters.network_delay + parameters.round_interval
-    parameters.deadline = max(1, least + parameters.past)
+    minimum = 2 * parameters.network_delay + parameters.round_interval
+    parameters.deadline = max(1, minimum + parameters.excess)
     parameters.latency_objective = max(1, min(parameters.latency_objective, parameters.deadline))
 
 
@@ -122,10 +122,10 @@
     parameters.dedup_scope = generator.choice((DedupScope.ALL, DedupScope.CELL))
     timeout_ms = generator.randrange(2, 12) * 10.0
     parameters.route = {"executions": 2, "time_out_ms": timeout_ms}
-    interval, past, objective = parameters.round_interval, parameters.past, parameters.latency_objective
+    interval, excess, objective = parameters.round_interval, parameters.excess, parameters.latency_objective
     wait = min(parameters.dial_timeout, int(timeout_ms * TICKS_PER_MS) + interval)
     longest = objective + interval + wait + parameters.network_delay
-    offset = generator.choice((past, past - objective // 2, past - interval))
+    offset = generator.choice((excess, excess - objective // 2, excess - interval))
     parameters.dedup_window = max(2 * interval, longest + offset)
 
 
@@ -142,7 +142,7 @@
 
 
 def _draw_attempt_timeouts(parameters: _Parameters, generator: random.Random) -> None:
-    """The attempts' timeouts and the delays between them fill the deadline, or the latency objective."""
+    """Makes the attempts' timeouts and the delays between them fill the deadline or the latency objective."""
     count = generator.randrange(1, 4)
     delay_ms = generator.randrange(0, 5) * 10.0
     interval, delay = parameters.round_interval, delay_ms * TICKS_PER_MS
@@ -150,7 +150,7 @@
     if count > 1:
         within_objective = (parameters.latency_objective - 1) // (count - 1) - interval - delay
         longest = min(longest, within_objective)
-    timeout_ms = max(1, longest + parameters.past) / TICKS_PER_MS
+    timeout_ms = max(1, longest + parameters.excess) / TICKS_PER_MS
     parameters.route = {"executions": count, "wait_ms": delay_ms, "time_out_ms": timeout_ms}
 
 
@@ -166,14 +166,14 @@
     )
     interval = parameters.round_interval
     latest = min(parameters.latency_objective, parameters.deadline - 2 * interval)
-    due = latest - interval - 2 * parameters.network_delay + parameters.past
-    after = max(0, generator.choice((due, due // 4)))
-    parameters.route = {"second_copy": {"after_ms": after / TICKS_PER_MS}}
+    longest = latest - interval - 2 * parameters.network_delay + parameters.excess
+    delay = max(0, generator.choice((longest, longest // 4)))
+    parameters.route = {"second_copy": {"after_ms": delay / TICKS_PER_MS}}
 
 
 def _draw_retry_budget(parameters: _Parameters, _generator: random.Random) -> None:
     parameters.route = {"budget": {"share": 0.0, "free": 4.0}}
-    parameters.retry_burst = 4.0 + parameters.past
+    parameters.retry_burst = 4.0 + parameters.excess
 
 
 _DRAWS: dict[Boundary, Callable[[_Parameters, random.Random], None]] = {
@@ -251,7 +251,7 @@
 
 
 def _least_drain_grace(parameters: _Parameters, routes: list[resolve.ResolvedRoute]) -> Ticks:
-    """The shortest grace within which all arrives that was sent before the drain was known."""
+    """Returns the shortest grace in which all attempts arrive that were sent before the drain was known."""
     interval = parameters.round_interval
     longest = max(longest_attempt(interval, route) for route in routes) + interval
     return interval + min(parameters.dial_timeout, longest) + parameters.network_delay
@@ -273,14 +273,17 @@
 
 
 def _near_overload(parameters: _Parameters, bounds: Bounds, generator: random.Random) -> Bounds:
-    """What a node in slow start answers is a part of what overloads it; both stand in the bound."""
-    least = parameters.slow_start_units + parameters.gateway_count * MAX_UNITS + parameters.past
-    overload_units = least * generator.choice((1.0, 0.8, 0.5, 2.0, 4.0))
-    part_served = generator.choice((0.1, 0.5, 1.0))
+    """Sets the units that overload a node in slow start, and those it serves, which are a fraction of them.
+
+    The bound depends on both.
+    """
+    minimum = parameters.slow_start_units + parameters.gateway_count * MAX_UNITS + parameters.excess
+    overload_units = minimum * generator.choice((1.0, 0.8, 0.5, 2.0, 4.0))
+    served_fraction = generator.choice((0.1, 0.5, 1.0))
     bounds = bounds._replace(
         overload_units=overload_units,
-        served_units=overload_units / OVERLOAD_MULTIPLE * part_served,
+        served_units=overload_units / OVERLOAD_MULTIPLE * served_fraction,
     )
     if generator.random() < AT_BOUND_PROBABILITY:
-        overload_units = worst_slow_start_units(bounds) + parameters.past
+        overload_units = worst_slow_start_units(bounds) + parameters.excess
     return bounds._replace(overload_units=overload_units)
--- a/rushmux/lab/model_check/gateway.py
+++ b/rushmux/lab/model_check/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway of the model: the real scheduler, whose rounds and connections may be late."""
+"""A modelled gateway: the real scheduler, with rounds and connections that may be late."""
 
 from collections import defaultdict
 from collections.abc import Callable, Sequence
@@ -19,11 +19,11 @@
 if TYPE_CHECKING:
     from rushmux.lab.model_check.schedule import Schedule
 
-SEED_STRIDE, GATEWAY_STRIDE = 64, 8  # so that no two starts of a schedule's gateways share a seed
+SEED_STRIDE, GATEWAY_STRIDE = 64, 8  # give every start of a schedule's gateways a seed of its own
 
 
 class ModelGateway:
-    """Feeds a scheduler with events and carries out what it decides (`SchedulerActions`)."""
+    """Passes events to a scheduler and carries out its decisions (`SchedulerActions`)."""
 
     def __init__(self, schedule: "Schedule", number: int):
         self.schedule, self.number = schedule, number
@@ -31,19 +31,19 @@
         self.start()
 
     def start(self) -> None:
-        """Starts, or starts anew with no state."""
+        """Starts or restarts the gateway with no state."""
         schedule = self.schedule
         self.start_count += 1
-        self.in_flight: dict[str, set[int]] = defaultdict(set)  # numbers of the attempts, by operation
+        self.in_flight: dict[str, set[int]] = defaultdict(set)  # attempt numbers by operation
         self.attempts_started: dict[str, int] = defaultdict(int)
         self.answered: dict[str, bool] = {}
         seed = schedule.seed * SEED_STRIDE + self.number * GATEWAY_STRIDE + self.start_count
         self.scheduler = schedule.make_scheduler(schedule.bounds.settings, seed, schedule.now, self)
 
     def deliver(self, at: Ticks, handler: Callable, *arguments: Any) -> None:
-        """Lets an event reach the gateway at a time; the round that handles it may be late.
+        """Delivers an event to the gateway at a time; the round that handles it may be late.
 
-        A restart in between loses the event.
+        A restart before that round loses the event.
         """
         schedule, start = self.schedule, self.start_count
 
@@ -52,28 +52,28 @@
                 handler(*arguments)
                 self.scheduler.run_round(schedule.now)
 
-        def reach() -> None:
+        def on_arrival() -> None:
             lateness = schedule.choices.choose(schedule.round_delays)
             self.last_round_at = max(self.last_round_at, schedule.now + lateness)
             schedule.call_at(self.last_round_at, run_round)
 
-        schedule.call_at(at, reach)
+        schedule.call_at(at, on_arrival)
 
     def update_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
-        """An update of the endpoint list arrives."""
+        """Handles an update of the endpoint list."""
         self.scheduler.on_endpoints(self.schedule.now, UpdateKind.DELTA, endpoints)
 
     def submit(self, request: OperationRequest, deadline_at: Ticks) -> None:
-        """Takes an operation of a client; `request.time_left` is set from the deadline."""
+        """Accepts an operation of a client; `request.time_left` is set from the deadline."""
         schedule = self.schedule
-        # A late round has used up a part of the client's time already.
+        # A late round has already used up part of the client's time.
         time_left = max(0, deadline_at - schedule.now)
-        schedule.history.add(f"gateway {self.number} takes {request.op_id}")
+        schedule.history.add(f"gateway {self.number} accepts {request.op_id}")
         schedule.monitor.on_submit(self.number)
         self.scheduler.on_operation(schedule.now, request._replace(time_left=time_left))
 
     def on_reply(self, op_id: str, number: int, result: AttemptResult) -> None:
-        """An attempt came back, timed out or was cancelled; ignored where it is not in flight any more."""
+        """Handles the reply, timeout or cancellation of an attempt, unless it is no longer in flight."""
         if number not in self.in_flight[op_id]:
             return
         self.in_flight[op_id].remove(number)
@@ -84,7 +84,7 @@
             attempt=number,
             result=result,
             operation_ended=op_id in self.answered,
-            fleet_usage=self.schedule.choices.choose(self.schedule.usage_figures, even=True),
+            fleet_usage=self.schedule.choices.choose(self.schedule.usage_values, uniform=True),
             remote_usage=0.0,
         )
         self.scheduler.on_attempt_result(self.schedule.now, report)
@@ -94,7 +94,7 @@
         self.schedule.on_answer(op_id, outcome)
 
     def start_attempt(self, op_id: str, node: str, timeout: Ticks) -> None:
-        """Sends an attempt of an operation to a node, perhaps after a wait for a connection."""
+        """Sends an attempt to a node, perhaps after a wait for a connection."""
         schedule, now = self.schedule, self.schedule.now
         attempt = ModelAttempt(self.number, op_id, self.attempts_started[op_id], node, now)
         self.attempts_started[op_id] += 1
@@ -106,18 +106,18 @@
         self.deliver(now + timeout, self.on_reply, op_id, attempt.number, AttemptResult.TIMED_OUT)
 
         def on_connected() -> None:
-            # What is given up while it waits for a connection is never sent.
+            # An attempt that ends while it waits for a connection is never sent.
             if attempt.number in self.in_flight[op_id] or not dial_time:
                 schedule.send(attempt)
 
         schedule.call_at(now + dial_time, on_connected)
 
     def shed(self, op_id: str, retry_after: Ticks) -> None:
-        """Answers that an operation did not and will not run."""
+        """Answers that an operation did not run and will not."""
         self._answer(op_id, ClientOutcome.SHED)
 
     def fail(self, op_id: str) -> None:
-        """Answers that an operation is given up and may have run."""
+        """Answers that an operation failed and may have run."""
         self._answer(op_id, ClientOutcome.FAILED)
 
     def cancel_attempt(self, op_id: str, attempt: int) -> None:
@@ -125,17 +125,17 @@
         self.deliver(self.schedule.now, self.on_reply, op_id, attempt, AttemptResult.CANCELLED)
 
     def poll_endpoints(self) -> None:
-        """Updates of the endpoint list come by themselves here."""
+        """Does nothing: the schedule sends all updates of the endpoint list."""
 
     def request_load_report(self, node: str) -> None:
-        """Loads change concurrency limits alone, which no rule of the verifier rests on."""
+        """Does nothing: loads only change concurrency limits, on which no rule depends."""
 
     def report_volume(self, event: VolumeEvent) -> None:
-        """Nobody reads a log here."""
+        """Does nothing: no rule uses these events."""
 
     def wake_after(self, delay: Ticks) -> None:
         """Runs a round after a delay."""
         self.deliver(self.schedule.now + delay, self._on_wake)
 
     def _on_wake(self) -> None:
-        """Nothing to take in: the round that follows is what was asked for."""
+        """Has no event to handle; `deliver` runs the round."""
--- a/rushmux/lab/model_check/history.py
+++ b/rushmux/lab/model_check/history.py
@@ -1,4 +1,4 @@
-"""What happened in a schedule, up to the first breach of a rule."""
+"""The steps of a schedule, up to the first breach of a rule."""
 
 from typing import NamedTuple
 
@@ -8,12 +8,12 @@
 
 
 def format_ms(ticks: Ticks) -> str:
-    """A time in milliseconds."""
+    """Returns a time as text in milliseconds, without the unit."""
     return f"{ticks / TICKS_PER_MS:g}"
 
 
 class Breach(NamedTuple):
-    """A rule that was broken, and what happened until then."""
+    """A broken rule, and the steps that led to it."""
 
     rule: Rule
     text: str
@@ -21,10 +21,10 @@
 
 
 class History:
-    """Keeps the steps of a schedule.
+    """Records the steps of a schedule.
 
     Attributes:
-        breach: The first breach; None: no rule was broken yet.
+        breach: The first breach, or None.
     """
 
     def __init__(self, clock: TimerLoop):
@@ -37,7 +37,7 @@
         self.steps.append(Step(self.clock.now, what))
 
     def add_breach(self, rule: Rule, text: str) -> None:
-        """Adds the breach of a rule; those after the first are left out."""
+        """Adds the breach of a rule; only the first is kept."""
         if self.breach is None:
             self.add(text)
             self.breach = Breach(rule, text, tuple(self.steps))
--- a/rushmux/lab/model_check/scenarios.py
+++ b/rushmux/lab/model_check/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios that try to break a rule: each sets a schedule up and says when it ends."""
+"""Scenarios that try to break a rule: each sets up a schedule and returns its end."""
 
 import random
 from collections.abc import Callable
@@ -10,20 +10,20 @@
 from rushmux.scheduling.driver import TICKS_PER_SECOND
 from rushmux.scheduling.interface import Endpoint, EndpointState, Idempotency, OperationRequest, Ticks
 
-BEGIN = 40_000  # ticks until the first operation: slow start and the like are over
-QUIET_TIME = 100_000  # ticks that a schedule runs after its last deadline
-DRAIN_END = 200_000  # ticks
+FIRST_OPERATION_AT = 40_000  # ticks; slow start and other effects of the start are over by then
+QUIET_TIME = 100_000  # ticks that a schedule goes on after its last deadline
+DRAIN_END = 200_000  # ticks; end of a schedule with a drain
 NODE_COUNT = 3
-SLOW_START_WAVES = 4
-WAVE_DISTANCE = 100  # ticks between two restarts of the gateways
+SLOW_START_BURSTS = 4
+RESTART_INTERVAL = 100  # ticks between two restarts of all gateways
 ANY_CELL = -1
 
 SetUp = Callable[[Schedule, str, str], Ticks]
-"""Sets a schedule up for a request class and a plan, and gives its end."""
+"""Sets up a schedule for a request class and a plan, and returns its end."""
 
 
 class Scenario(NamedTuple):
-    """A way to try to break a rule."""
+    """One way of trying to break a rule."""
 
     set_up: SetUp
     behaviours: tuple[NodeBehaviour, ...]
@@ -63,56 +63,56 @@
 
 
 def consecutive_operations(schedule: Schedule, request_class: str, plan: str) -> Ticks:
-    """One operation, and another that follows it."""
+    """Sends two operations, one right after the other."""
     client, gateway = _Client(schedule, request_class, plan), schedule.gateways[0]
-    row = schedule.bounds.settings.request_classes[request_class]
-    cell = ANY_CELL if row.idempotency is Idempotency.IDEMPOTENT else 0
+    class_settings = schedule.bounds.settings.request_classes[request_class]
+    cell = ANY_CELL if class_settings.idempotency is Idempotency.IDEMPOTENT else 0
     schedule.update_endpoints(_ready_node(number) for number in range(NODE_COUNT))
-    schedule.call_at(BEGIN, lambda: client.send(gateway, "a", cell=cell))
-    schedule.call_at(BEGIN + 1, lambda: client.send(gateway, "b", cell=cell))
-    return BEGIN + 3 * row.deadline + QUIET_TIME
+    schedule.call_at(FIRST_OPERATION_AT, lambda: client.send(gateway, "a", cell=cell))
+    schedule.call_at(FIRST_OPERATION_AT + 1, lambda: client.send(gateway, "b", cell=cell))
+    return FIRST_OPERATION_AT + 3 * class_settings.deadline + QUIET_TIME
 
 
 def operations_during_drain(schedule: Schedule, request_class: str, plan: str) -> Ticks:
-    """Operations are taken while the drain of their node is being told."""
+    """Sends operations while the gateway is being told that their node drains."""
     client, gateway = _Client(schedule, request_class, plan), schedule.gateways[0]
     node = _ready_node(0)
     draining = node._replace(state=EndpointState.DRAINING)
     schedule.update_endpoints([node])
-    schedule.call_at(BEGIN, lambda: schedule.update_endpoints([draining]))
-    schedule.call_at(BEGIN - schedule.bounds.network_delay, lambda: client.send(gateway, "d0"))
-    schedule.call_at(BEGIN, lambda: client.send(gateway, "d1"))
+    schedule.call_at(FIRST_OPERATION_AT, lambda: schedule.update_endpoints([draining]))
+    schedule.call_at(FIRST_OPERATION_AT - schedule.bounds.network_delay, lambda: client.send(gateway, "d0"))
+    schedule.call_at(FIRST_OPERATION_AT, lambda: client.send(gateway, "d1"))
     return DRAIN_END
 
 
 def retry_near_end_of_dedup_window(schedule: Schedule, request_class: str, plan: str) -> Ticks:
-    """A node is away after its first attempt, and back just before a retry would be too late."""
+    """Takes a node away after the first attempt, and back just before a retry would be too late."""
     client, gateway = _Client(schedule, request_class, plan), schedule.gateways[0]
-    row = schedule.bounds.settings.request_classes[request_class]
+    class_settings = schedule.bounds.settings.request_classes[request_class]
     round_interval = schedule.bounds.settings.round_interval
-    taken_at = BEGIN + schedule.bounds.network_delay + round_interval
+    submitted_at = FIRST_OPERATION_AT + schedule.bounds.network_delay + round_interval
     node = _ready_node(0)
     draining = node._replace(state=EndpointState.DRAINING)
     schedule.update_endpoints([node])
-    schedule.call_at(BEGIN, lambda: client.send(gateway, "a"))
-    schedule.call_at(taken_at + 1, lambda: schedule.update_endpoints([draining]))
-    last_moments = (
-        row.latency_objective - 1,
-        row.dedup_window - round_interval - 1,
-        row.dedup_window - 1,
+    schedule.call_at(FIRST_OPERATION_AT, lambda: client.send(gateway, "a"))
+    schedule.call_at(submitted_at + 1, lambda: schedule.update_endpoints([draining]))
+    retry_delays = (
+        class_settings.latency_objective - 1,
+        class_settings.dedup_window - round_interval - 1,
+        class_settings.dedup_window - 1,
     )
-    last = schedule.choices.choose(last_moments, even=True)
-    back_at = taken_at + last - schedule.choices.choose((round_interval, 0))
-    schedule.call_at(back_at, lambda: schedule.update_endpoints([node]))
-    return BEGIN + 2 * row.deadline
+    delay = schedule.choices.choose(retry_delays, uniform=True)
+    ready_at = submitted_at + delay - schedule.choices.choose((round_interval, 0))
+    schedule.call_at(ready_at, lambda: schedule.update_endpoints([node]))
+    return FIRST_OPERATION_AT + 2 * class_settings.deadline
 
 
 def bursts_at_slow_start(schedule: Schedule, request_class: str, plan: str) -> Ticks:
-    """All gateways have largest and small operations for a node in slow start, again and again."""
+    """Sends bursts of small and largest operations for a node in slow start through all gateways."""
     client, settings = _Client(schedule, request_class, plan), schedule.bounds.settings
     window = settings.slow_start_window
     begin = 2 * window
-    # The others that each gateway has work for: the part of all cells that the bounds state.
+    # Only cell 0 has work: one of so many cells is the contended fraction that the bounds state.
     cell_count = max(1, round(1 / schedule.bounds.contended_cell_fraction))
     endpoints = [_ready_node(0, begin), *(_ready_node(cell) for cell in range(1, cell_count))]
     schedule.call_at(begin, lambda: schedule.update_endpoints(endpoints))
@@ -121,9 +121,9 @@
     def send_at(when: Ticks, gateway: ModelGateway, op_id: str, units: float) -> None:
         schedule.call_at(when, lambda: client.send(gateway, op_id, units=units))
 
-    for wave in range(SLOW_START_WAVES):
+    for burst in range(SLOW_START_BURSTS):
         for gateway in schedule.gateways:
-            when = begin + wave * window // 2 + generator.randrange(window // 4) + 1
+            when = begin + burst * window // 2 + generator.randrange(window // 4) + 1
             for units in (*(1.0,) * generator.randrange(3), settings.max_units):
                 count += 1
                 send_at(when, gateway, f"c{count}", units)
@@ -131,28 +131,28 @@
 
 
 def restarts_with_spent_limits(schedule: Schedule, request_class: str, plan: str) -> Ticks:
-    """All gateways use up their parts of a limit and restart, as often as the bounds allow."""
+    """Lets all gateways use up their shares of a limit and restart, as often as the bounds allow."""
     client, bounds = _Client(schedule, request_class, plan), schedule.bounds
     qos_plan, gateway_count = bounds.settings.plans[plan], bounds.settings.gateway_count
-    operations_each = int(qos_plan.burst / gateway_count) + 2
+    operations_per_gateway = int(qos_plan.burst / gateway_count) + 2
     full_at = int(qos_plan.burst / qos_plan.limit * TICKS_PER_SECOND) + TICKS_PER_SECOND
     endpoints, count = [_ready_node(0)], 0
     schedule.update_endpoints(endpoints)
 
-    def spend(restarts: bool) -> None:
+    def use_up_limits(restart: bool) -> None:
         nonlocal count
         for gateway in schedule.gateways:
-            if restarts:
+            if restart:
                 gateway.start()
                 schedule.update_endpoints(endpoints, [gateway])
-            for _ in range(operations_each):
+            for _ in range(operations_per_gateway):
                 count += 1
                 client.send(gateway, f"l{count}", gateway_count=gateway_count)
 
-    schedule.call_at(full_at, lambda: spend(restarts=False))
+    schedule.call_at(full_at, lambda: use_up_limits(restart=False))
     for number in range(1, bounds.restarts + 1):
-        schedule.call_at(full_at + WAVE_DISTANCE * number, lambda: spend(restarts=True))
-    return full_at + WAVE_DISTANCE * (bounds.restarts + 1)
+        schedule.call_at(full_at + RESTART_INTERVAL * number, lambda: use_up_limits(restart=True))
+    return full_at + RESTART_INTERVAL * (bounds.restarts + 1)
 
 
 SCENARIOS: dict[Rule, tuple[Scenario, ...]] = {
--- a/rushmux/lab/model_check/schedule.py
+++ b/rushmux/lab/model_check/schedule.py
@@ -1,8 +1,7 @@
 """One schedule: the real scheduler of every gateway with clients and nodes, within a deployment's bounds.
 
-Every delay that a deployment allows is a choice: of messages, late rounds and connects, and so is what a
-node does with an attempt.  Small on purpose: a handful of operations, one matter at a time.  Times are whole
-ticks.
+The delays of messages, rounds and connections are choices, and so is what a node does with an attempt.  A
+schedule is small on purpose: a few operations that test one rule.  Times are ticks.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -19,42 +18,42 @@
 from rushmux.scheduling.interface import AttemptResult, Endpoint, OperationRequest, Ticks
 from rushmux.scheduling.scheduler import Scheduler
 
-START = 10  # ticks on the clock of a new schedule
-USUAL_FIGURE = 2  # of the fleet's usage, in answers: one percent of the plan's rate
-USAGE_FIGURES = (0, USUAL_FIGURE, 401)  # none, and any other: figures may be late, stale or untrue
-MAX_EVENTS = 20_000  # of one schedule: beyond it something never ends
+START_TIME = 10  # of a new schedule, in ticks
+TYPICAL_USAGE = 2  # fleet usage in an answer: one percent of the plan's rate
+USAGE_VALUES = (0, TYPICAL_USAGE, 401)  # none, and others: the usage may be late, stale or wrong
+MAX_EVENTS = 20_000  # of a schedule; one with more does not end
 
 
 class NodeBehaviour(Enum):
-    """What a node may do with an attempt."""
+    """What a node does with an attempt."""
 
     SILENT = auto()
-    """It takes it and does not answer."""
+    """Accepts it and does not answer."""
     SUCCEED = auto()
     FAIL = auto()
     REJECT = auto()
 
 
 class EndlessScheduleError(LabError):
-    """A schedule does not come to its end.
+    """A schedule does not end.
 
     Attributes:
-        events: How many there were.
+        events: How many were run.
     """
 
     def __init__(self, events: int):
-        super().__init__(f"the schedule has not ended after {events} events")
+        super().__init__(f"the schedule did not end within {events} events")
         self.events = events
 
 
 class Schedule:
-    """One schedule over a deployment.
+    """One schedule of a deployment.
 
     Attributes:
-        network_delays: Choices of a message's way, in ticks, worst first; so with the other two.
-        dial_times: Choices of the wait for a connection.
-        round_delays: Choices of a round's lateness.
-        usage_figures: Choices of what an answer tells of the fleet's usage.
+        network_delays: Possible delays of a message, worst first.
+        dial_times: Possible waits for a connection, worst first.
+        round_delays: Possible delays of a round, worst first.
+        usage_values: Possible values of the fleet's usage in an answer.
     """
 
     def __init__(
@@ -68,20 +67,20 @@
         has_delays: bool = True,
         make_scheduler: Callable = Scheduler,
     ):
-        """Sets a schedule up.
+        """Sets up a schedule.
 
         Args:
-            bounds: Of the deployment.
+            bounds: The deployment's bounds.
             choices: Makes the choices.
             behaviours: What nodes may do with an attempt, worst first.
-            gateway_count: Gateways of the schedule.
-            seed: Of the schedulers.
+            gateway_count: How many gateways there are.
+            seed: The seed of the schedulers.
             has_delays: Whether messages, rounds and connections may be late.
             make_scheduler: Makes a gateway's scheduler.
         """
         self.bounds, self.choices, self.behaviours, self.seed = bounds, choices, behaviours, seed
         self.make_scheduler = make_scheduler
-        self.clock = TimerLoop(START)
+        self.clock = TimerLoop(START_TIME)
         self.history = History(self.clock)
         self.monitor = RuleMonitor(bounds, self.history)
         self.network_delays = self.dial_times = self.round_delays = (0,)
@@ -89,24 +88,26 @@
             self.network_delays = _worst_and_none(bounds.network_delay)
             self.dial_times = _worst_and_none(bounds.dial_timeout)
             self.round_delays = _worst_and_none(bounds.settings.round_interval)
-        self.usage_figures = USAGE_FIGURES if bounds.settings.usage_period else (USUAL_FIGURE,)
-        self._busy_until = 0  # of the nodes in slow start together
+        self.usage_values = USAGE_VALUES if bounds.settings.usage_period else (TYPICAL_USAGE,)
+        self._busy_until = 0  # end of the work of all nodes in slow start, which is done one by one
         self.gateways = [ModelGateway(self, number) for number in range(gateway_count)]
 
     @property
     def now(self) -> Ticks:
-        """The time of the schedule."""
+        """The simulated time."""
         return self.clock.now
 
     def call_at(self, when: Ticks, callback: Callable[[], None]) -> None:
-        """Schedules a call at a time."""
+        """Calls back at a time."""
         self.clock.call_at(when, callback)
 
     def run(self, end: Ticks) -> Breach | None:
-        """Runs until a time or a breach; at the end each operation must have been answered.
+        """Runs until a time or a breach, and returns the breach, if any.
+
+        At the end each operation past its deadline must have been answered.
 
         Raises:
-            EndlessScheduleError: There were more than `MAX_EVENTS`.
+            EndlessScheduleError: More than `MAX_EVENTS` events were run.
         """
         events = 0
         while self.history.breach is None and self.clock.run_next(end):
@@ -119,7 +120,7 @@
     def update_endpoints(
         self, endpoints: Iterable[Endpoint], gateways: Sequence[ModelGateway] | None = None
     ) -> None:
-        """Tells gateways, or all of them, of nodes at once."""
+        """Sends node states to some gateways, by default to all, without network delay."""
         endpoints = list(endpoints)
         for endpoint in endpoints:
             self.monitor.nodes[endpoint.node] = endpoint
@@ -129,35 +130,35 @@
             gateway.deliver(self.now, gateway.update_endpoints, endpoints)
 
     def send_operation(self, gateway: ModelGateway, request: OperationRequest) -> None:
-        """A client sends an operation now."""
+        """Sends an operation from a client now."""
         request_class = self.bounds.settings.request_classes[request.request_class]
         self.monitor.on_client_send(request.op_id, request_class, request.units)
         self.history.add(f"a client sends {request.op_id}")
-        # The gateway counts the deadline from what reaches it, and the client from its send.
+        # The gateway counts the deadline from the arrival, the client from the send.
         arrives_at = self.now + self._network_delay()
         gateway.deliver(arrives_at, gateway.submit, request, arrives_at + request_class.deadline)
 
     def on_answer(self, op_id: str, outcome: ClientOutcome) -> None:
-        """A gateway gives the final answer of an operation."""
+        """Delivers a gateway's final answer to the client."""
         self.monitor.on_answer(op_id)
         received_at = self.now + self._network_delay()
-        self.history.add(f"{op_id} {outcome}; its client knows at {format_ms(received_at)} ms")
+        self.history.add(f"{op_id} {outcome}; the answer reaches its client at {format_ms(received_at)} ms")
         self.monitor.on_answer_received(op_id, received_at)
 
     def on_attempt_start(self, attempt: ModelAttempt, is_answered: bool, in_flight: int) -> None:
-        """A gateway starts an attempt of an operation that has `in_flight` others."""
+        """Records and checks the start of an attempt whose operation has `in_flight` others."""
         self.history.add(
-            f"gateway {attempt.gateway} sends {attempt.op_id} execution {attempt.number} to {attempt.node}"
+            f"gateway {attempt.gateway} sends {attempt.op_id} attempt {attempt.number} to {attempt.node}"
         )
         self.monitor.on_attempt_start(attempt, is_answered, in_flight)
 
     def send(self, attempt: ModelAttempt) -> None:
-        """Carries an attempt to its node."""
+        """Delivers an attempt to its node."""
         arrives_at = self.now + self._network_delay()
         self.call_at(arrives_at, lambda: self._on_arrival(attempt))
 
     def _on_arrival(self, attempt: ModelAttempt) -> None:
-        self.history.add(f"{attempt.op_id} execution {attempt.number} arrives at {attempt.node}")
+        self.history.add(f"{attempt.op_id} attempt {attempt.number} arrives at {attempt.node}")
         self.monitor.on_arrival(attempt)
         behaviour = self.choices.choose(self.behaviours)
         if behaviour is not NodeBehaviour.REJECT:
@@ -176,7 +177,7 @@
         gateway.deliver(arrives_at, gateway.on_reply, attempt.op_id, attempt.number, result)
 
     def _service_time(self, attempt: ModelAttempt) -> Ticks:
-        """Of a node in slow start for an attempt; others take no time."""
+        """Returns how long a node in slow start works on an attempt; other nodes take no time."""
         if not self.monitor.nodes[attempt.node].online_since:
             return 0
         units = self.monitor.operations[attempt.op_id].units
@@ -187,5 +188,5 @@
 
 
 def _worst_and_none(delay: Ticks) -> tuple[Ticks, ...]:
-    """The longest delay and none."""
+    """Returns the longest delay, and none."""
     return (delay, 0) if delay else (0,)
--- a/rushmux/lab/model_check/search.py
+++ b/rushmux/lab/model_check/search.py
@@ -1,4 +1,4 @@
-"""Searches the schedules of a scenario for a breach: the choices in order, worst first, then drawn ones."""
+"""Searches schedules of a scenario for a breach: enumerated choices, worst first, then random ones."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -11,7 +11,7 @@
 from rushmux.scheduling.scheduler import Scheduler
 
 SEED_BITS = 32
-SEEDS_PER_SEARCH = 1_000  # of the schedulers, so that searches share none
+SEEDS_PER_SEARCH = 1_000  # scheduler seeds set aside for each search, so that searches share none
 
 
 def find_breach(
@@ -24,7 +24,7 @@
     seed: int = 1,
     make_scheduler: Callable = Scheduler,
 ) -> Breach | None:
-    """The first breach of any rule in so many schedules of a scenario; None where there is none."""
+    """Returns the first breach of any rule in at most `max_schedules` schedules of a scenario, or None."""
     gateway_count = 1 if scenario.single_gateway else bounds.settings.gateway_count
     for number, choices in enumerate(_choices(max_schedules, random.Random(seed))):
         schedule = Schedule(
@@ -44,7 +44,7 @@
 
 
 def _choices(max_schedules: int, generator: random.Random) -> Iterator[Choices]:
-    """Half of them enumerated, as far as there are so many; the others drawn."""
+    """Yields enumerated choices for up to half of the schedules, and random ones for the others."""
     choices: Choices | None = EnumeratedChoices()
     for number in range(max_schedules):
         if choices is None or number >= max_schedules // 2:
--- a/rushmux/lab/model_check/verifier_check.py
+++ b/rushmux/lab/model_check/verifier_check.py
@@ -1,7 +1,8 @@
-"""Checks the verifier of routes against the model: draws deployments near its bounds and searches schedules.
+"""Checks the route verifier against the model: draws deployments near its bounds and searches schedules.
 
-Every accepted one must keep the rules in all schedules found; a refused one must have a schedule that breaks
-its rule, or count as conservative; or be marked `guarded`, where the scheduler keeps the rule by itself.
+No schedule of an accepted deployment may break a rule.  A finding of a rejected one must be reproduced by a
+schedule that breaks its rule, or counts as conservative.  If it is marked `guarded`, the scheduler keeps the
+rule by itself and no schedule may break it.
 """
 
 import random
@@ -19,7 +20,7 @@
 
 
 class Count(StrEnum):
-    """What a check counts; the values are those that its callers print."""
+    """What a check counts; callers print the values."""
 
     DRAWN = "drawn"
     """Deployments."""
@@ -30,21 +31,21 @@
     GUARDED = "guarded"
     """Findings whose rule the scheduler keeps by itself."""
     REPRODUCED = "played"
-    """Findings whose breach was found in a schedule."""
+    """Findings whose rule is broken in a schedule."""
     CONSERVATIVE = "conservative"
     """Findings without a breach in the schedules searched."""
 
 
 class Mismatch(NamedTuple):
-    """A deployment on which verifier and scheduler disagree."""
+    """A deployment on which the verifier and the scheduler disagree."""
 
     draw: int
-    """The number of the deployment among those drawn."""
+    """The number of the drawn deployment."""
     text: str
 
 
 class VerifierCheck(NamedTuple):
-    """What a check came to."""
+    """The result of a check."""
 
     counts: Counter[str]
     """By `Count`; conservative findings also by the boundary of their deployment."""
@@ -52,14 +53,17 @@
 
 
 def scenarios_for(drawn: DrawnDeployment, rule: Rule) -> tuple[Scenario, ...]:
-    """The scenarios that try to break a rule on a deployment."""
+    """Returns the scenarios that try to break a rule on a deployment."""
     if rule is Rule.RATE_LIMIT and not drawn.bounds.settings.plans[PLAN].limit:
         return ()
     return SCENARIOS[rule]
 
 
 def find_breach_of(drawn: DrawnDeployment, rule: Rule, max_schedules: int, seed: int = 1) -> Breach | None:
-    """The first breach of any rule in the scenarios for one rule, in so many schedules of each."""
+    """Returns the first breach of any rule in the scenarios for one rule, or None.
+
+    Each scenario is searched in at most `max_schedules` schedules.
+    """
     for scenario in scenarios_for(drawn, rule):
         breach = find_breach(
             drawn.bounds, scenario, REQUEST_CLASS, PLAN, max_schedules=max_schedules, seed=seed
@@ -70,7 +74,7 @@
 
 
 def check_verifier(draws: int, seed: int, max_schedules: int) -> VerifierCheck:
-    """Draws so many deployments and searches at most so many schedules of each scenario."""
+    """Draws `draws` deployments and searches at most `max_schedules` schedules of each scenario."""
     check = VerifierCheck(Counter(), [])
     for number in range(draws):
         drawn = draw_deployment(random.Random(f"{seed}/{number}"))
@@ -90,7 +94,7 @@
     for rule in SCENARIOS:
         breach = find_breach_of(drawn, rule, max_schedules, number)
         if breach is not None:
-            yield Mismatch(number, f"{drawn.boundary}: accepted, and {breach.rule}: {breach.text}")
+            yield Mismatch(number, f"{drawn.boundary}: accepted, but breaks '{breach.rule}': {breach.text}")
 
 
 def _check_refused(
@@ -104,7 +108,7 @@
     if finding.guarded:
         check.counts[Count.GUARDED] += 1
         if breach is not None:
-            text = f"{drawn.boundary}: guarded, and {breach.rule}: {breach.text}"
+            text = f"{drawn.boundary}: guarded, but breaks '{breach.rule}': {breach.text}"
             check.mismatches.append(Mismatch(number, text))
     elif breach is not None and breach.rule == finding.rule:
         check.counts[Count.REPRODUCED] += 1
