--- a/benchmarks/scheduler_equivalence.py
+++ b/benchmarks/scheduler_equivalence.py
@@ -79,7 +79,7 @@
     """Makes schedulers that are two, and counts what was compared."""
 
     def __init__(self, revision: str):
-        self.older = variants.source({"name": "older", "revision": revision}).load()
+        self.older = variants.load_source({"name": "older", "revision": revision}).load()
         self.events = self.actions = 0
 
     def scheduler(self, settings, seed, now, actions) -> "ComparedScheduler":
--- a/rushmux/cli/lab.py
+++ b/rushmux/cli/lab.py
@@ -180,7 +180,7 @@
     bound = upper_bound(day, loaded["seconds"], draw_node_speeds(day.fleet, seed))
     click.echo(f"at most {bound:.3f} of all operations could be served in time")
     for variant in loaded["variants"]:
-        result = simulate(loaded, variant, variants.source(variant), seed)
+        result = simulate(loaded, variant, variants.load_source(variant), seed)
         if "crashed" in result:
             text = result["crashed"]
         else:
--- a/rushmux/lab/run.py
+++ b/rushmux/lab/run.py
@@ -12,7 +12,7 @@
 from rushmux.lab.measurements import MEASURES, DayResult, measure
 from rushmux.lab.result_store import ResultKey, ResultStore, experiment_digest
 from rushmux.lab.scheduler_simulation import SchedulerSimulation
-from rushmux.lab.variants import ROOT, SchedulerSource, scheduler_type, source
+from rushmux.lab.variants import ROOT, SchedulerSource, load_source, scheduler_type
 from rushmux.worker_pool import worker_pool
 
 MAX_CRASHES = 3  # of a variant that the text tells
@@ -65,7 +65,7 @@
     def __init__(self, experiment: Experiment, store: ResultStore, on_progress: Callable[[str], None]):
         self.experiment, self.store, self.on_progress = experiment, store, on_progress
         self.variants: Sequence[Variant] = experiment["variants"]
-        self.sources = {variant["name"]: source(variant) for variant in self.variants}
+        self.sources = {variant["name"]: load_source(variant) for variant in self.variants}
         self.results: Results = {variant["name"]: {} for variant in self.variants}
         self.revision = current_revision()
 
--- a/rushmux/lab/saved_day.py
+++ b/rushmux/lab/saved_day.py
@@ -92,7 +92,7 @@
     saved = load(path)
     variant = saved.experiment["variants"][0]
     candidate = Candidate(saved.seed, tuple(saved.experiment["troubles"]))
-    day = simulate_day(saved.experiment, variant, variants.source(variant), candidate)
+    day = simulate_day(saved.experiment, variant, variants.load_source(variant), candidate)
     passes = not day.broken and day.served >= saved.served - tolerance
     rules = f"BROKEN: {', '.join(day.broken)}" if day.broken else "kept"
     text = f"{path}: {day.served:.3f} in time, {saved.served:.3f} when it was saved; rules {rules}"
--- a/rushmux/lab/search.py
+++ b/rushmux/lab/search.py
@@ -93,7 +93,7 @@
     def __init__(self, experiment: Experiment, pool: ProcessPoolExecutor):
         self.experiment, self.pool = experiment, pool
         self.variant = experiment["variants"][0]
-        self.scheduler_source = variants.source(self.variant)
+        self.scheduler_source = variants.load_source(self.variant)
 
     def simulate(self, candidates: Sequence[Candidate]) -> list[SimulatedDay]:
         """Simulates days; the results are in the order of the candidates."""
--- a/rushmux/lab/variants.py
+++ b/rushmux/lab/variants.py
@@ -109,7 +109,7 @@
     return path.endswith(".py") and Path(path).stem not in SHARED
 
 
-def source(variant: Variant) -> SchedulerSource:
+def load_source(variant: Variant) -> SchedulerSource:
     """The source of the scheduler of a variant.
 
     Raises:
--- a/tests/lab/test_optimal_bound.py
+++ b/tests/lab/test_optimal_bound.py
@@ -16,7 +16,7 @@
         day = draw_day(experiment, experiment["variants"][0], seed)
         bound = upper_bound(day, experiment["seconds"], draw_node_speeds(day.fleet, seed))
         for variant in experiment["variants"]:
-            result = simulate(experiment, variant, variants.source(variant), seed)
+            result = simulate(experiment, variant, variants.load_source(variant), seed)
             assert result["in_time"] <= bound + 1e-9
 
 
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -125,7 +125,7 @@
 
 def test_a_changed_text_that_is_not_there_is_refused():
     with pytest.raises(variants.SourceError) as error:
-        variants.source({"name": "x", "without": [["no such text", ""]]})
+        variants.load_source({"name": "x", "without": [["no such text", ""]]})
     assert "stands 0 times" in str(error.value)
     with pytest.raises(variants.SourceError):
-        variants.source({"name": "x", "revision": "no-such-revision"})
+        variants.load_source({"name": "x", "revision": "no-such-revision"})
--- a/tests/lab/test_search.py
+++ b/tests/lab/test_search.py
@@ -16,7 +16,7 @@
     assert days[0] == days[1]
     variant = experiment["variants"][0]
     lines = ("silent nodes 3 at 0.5 for 3", "reports node at 1 for 1", "resets node at 0.2")
-    worst = search.simulate_day(experiment, variant, variants.source(variant), Candidate(3, lines))
+    worst = search.simulate_day(experiment, variant, variants.load_source(variant), Candidate(3, lines))
     shrunk = search.shrink(experiment, worst, 2)
     assert shrunk.lines == ("silent nodes 3 at 0.5 for 3",)
     path = tmp_path / "case.json"
--- a/tests/lab/test_workload.py
+++ b/tests/lab/test_workload.py
@@ -66,7 +66,7 @@
     variant = again["variants"][0]
     recorded = draw_day(experiment, experiment["variants"][0], 3).arrivals
     assert draw_day(again, variant, 9).arrivals == recorded
-    result = simulate(again, variant, variants.source(variant), 9)
+    result = simulate(again, variant, variants.load_source(variant), 9)
     assert result["kept"] and result["asked"] > 100
     with pytest.raises(ExperimentError) as error:
         make_experiment(trace=str(tmp_path / "none"))
