--- a/rushmux/lab/measurements.py
+++ b/rushmux/lab/measurements.py
@@ -1,4 +1,4 @@
-"""What a simulated day comes to: plain numbers that can be stored, merged and compared."""
+"""The measurements of a simulated day: plain numbers that can be stored, merged and compared."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -14,48 +14,48 @@
 from rushmux.settings.deployment import Deployment
 from rushmux.standins.checker import Checker
 
-MAX_NETWORK_DELAY = 0.01  # seconds one way, at most, that the checker allows for
-WINDOW = 10  # seconds of the worst stretch
-MIN_WINDOW_OPERATIONS = 20  # a stretch with fewer tells nothing
-MAX_BREACHES = 3  # of a rule that are stored
+MAX_NETWORK_DELAY = 0.01  # one-way seconds that the checker allows for
+WINDOW = 10  # seconds
+MIN_WINDOW_OPERATIONS = 20  # windows with fewer are ignored: they say nothing
+MAX_BREACHES = 3  # stored for each rule
 PERCENTILES = (50, 90, 99, 99.9)
 TAIL_PERCENTILE = 99
-MEASURES = ("in_time", "worth", "worst", "entitled", "fair", "p99_ms")  # what variants are compared by
-NO_ZERO = 1e-9  # in place of a sum of nothing below a fraction
+MEASURES = ("in_time", "worth", "worst", "entitled", "fair", "p99_ms")  # to compare variants by
+MIN_DENOMINATOR = 1e-9  # avoids a division by zero
 
 
 class DayResult(TypedDict, total=False):
-    """The result of a day as it is stored; one that crashed has `crashed` and `where` alone."""
+    """The stored result of a day; after a crash it has only `crashed` and `where`."""
 
     asked: int
     """Operations that clients sent."""
     in_time: float
-    """Part of them that succeeded within their latency objective."""
+    """Fraction of them that succeeded within their latency objective."""
     worth: float
-    """The same, weighed by priority, units and price."""
+    """The same, weighted by priority, units and price."""
     worst: float
-    """The least part in time within any `WINDOW`."""
+    """The lowest fraction in time within any `WINDOW`."""
     entitled: float
-    """Part of the reserved units that succeeded in time."""
+    """Fraction of the reserved units that succeeded in time."""
     fair: float
-    """Jain's index over the parts of the volumes' units in time."""
+    """Jain's index of the fractions of units in time, by volume."""
     p99_ms: float
     ends: dict[str, int]
-    """Operations by `ClientOutcome`."""
+    """Number of operations by `ClientOutcome`."""
     plans: dict[str, float]
-    """Part in time by plan."""
+    """Fraction in time by plan."""
     lanes: dict[str, float]
-    """Part in time by request class."""
+    """Fraction in time by request class."""
     latency: dict[str, dict[str, float]]
     """Percentiles in ms by request class."""
     sketches: dict[str, str]
     """Encoded histograms by request class."""
     series: dict[str, list[list[int]]]
-    """For each second, operations sent and those in time, by plan and by request class."""
+    """Operations sent and those in time, for each second, by plan and by request class."""
     nodes: list
-    """Samples: time, and for each node its attempts in flight and the median concurrency limit."""
+    """Samples: the time, then attempts in flight and median concurrency limit of each node."""
     rules: dict[str, list]
-    """For each rule of the checker: events checked, how near the nearest came, breaches."""
+    """For each rule of the checker: events checked, highest ratio to the bound, breaches."""
     kept: bool
     """Whether no rule was broken."""
     crashed: str
@@ -65,7 +65,7 @@
 
 
 def jain_index(shares: Iterable[float]) -> float:
-    """Jain's index of fairness: 1 where all shares are equal, 1/n where one has all.
+    """Jain's index of fairness: 1 if all shares are equal, 1/n if one has everything.
 
     Jain, Chiu, Hawe: A Quantitative Measure of Fairness (DEC-TR-301, 1984).
     """
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class _Tally:
-    """How much was asked for, and how much of it succeeded in time."""
+    """How much was requested, and how much of it succeeded in time."""
 
     asked: float = 0
     in_time: float = 0
@@ -86,12 +86,12 @@
         self.in_time += amount * in_time
 
     @property
-    def part(self) -> float:
+    def fraction(self) -> float:
         return self.in_time / self.asked
 
 
 class _DayTallies:
-    """Counts the operations of a day, by what the measures need."""
+    """Tallies of a day's operations."""
 
     def __init__(self, deployment: Deployment, seconds: float):
         self.settings, self.folders = deployment.settings, deployment.folders
@@ -129,29 +129,29 @@
             histograms.record_seconds(self.latencies[name], operation.latency)
 
     def reserves_met(self) -> float:
-        """Part of the reserved units that succeeded in time, where they were asked for."""
+        """Fraction of the reserved units that succeeded in time, of those that were requested."""
         reserved = met = 0.0
         for (volume, _), units in self.second_units.items():
-            part = min(units.asked, self.settings.plans[self.folders[volume].plan].reserve)
-            reserved += part
-            met += min(part, units.in_time)
-        return met / max(NO_ZERO, reserved)
+            entitled = min(units.asked, self.settings.plans[self.folders[volume].plan].reserve)
+            reserved += entitled
+            met += min(entitled, units.in_time)
+        return met / max(MIN_DENOMINATOR, reserved)
 
     def worst_window(self) -> float:
-        """The least part in time within any window that has enough operations."""
+        """The lowest fraction in time within any window that has enough operations."""
         plans = [tallies for name, tallies in self.series.items() if name.startswith("plan")]
         seconds = range(self.last_second + 1)
         asked = [sum(tallies[second].asked for tallies in plans) for second in seconds]
         in_time = [sum(tallies[second].in_time for tallies in plans) for second in seconds]
-        begins = range(max(1, self.last_second - WINDOW + 1))
+        starts = range(max(1, self.last_second - WINDOW + 1))
         windows = [
-            _Tally(sum(asked[begin : begin + WINDOW]), sum(in_time[begin : begin + WINDOW]))
-            for begin in begins
+            _Tally(sum(asked[start : start + WINDOW]), sum(in_time[start : start + WINDOW]))
+            for start in starts
         ]
-        return min((tally.part for tally in windows if tally.asked >= MIN_WINDOW_OPERATIONS), default=1.0)
+        return min((tally.fraction for tally in windows if tally.asked >= MIN_WINDOW_OPERATIONS), default=1.0)
 
     def all_latencies(self) -> HdrHistogram:
-        """The latencies of all request classes."""
+        """Latencies of all request classes, merged."""
         merged = histograms.new_histogram()
         for histogram in self.latencies.values():
             merged.add(histogram)
@@ -159,7 +159,7 @@
 
 
 def measure(simulation: SchedulerSimulation, seconds: float) -> DayResult:
-    """The numbers of a day.  Times count from when a client meant to send, retries included."""
+    """Measures a day.  Latencies count from when a client meant to send, including its retries."""
     tallies = _DayTallies(simulation.context.deployment, seconds)
     for operation in simulation.completed:
         tallies.add(operation)
@@ -170,14 +170,14 @@
     return {
         "asked": asked,
         "in_time": in_time / max(1, asked),
-        "worth": tallies.value.in_time / max(NO_ZERO, tallies.value.asked),
+        "worth": tallies.value.in_time / max(MIN_DENOMINATOR, tallies.value.asked),
         "worst": tallies.worst_window(),
         "entitled": tallies.reserves_met(),
-        "fair": jain_index(units.part for units in tallies.volume_units.values()),
+        "fair": jain_index(units.fraction for units in tallies.volume_units.values()),
         "p99_ms": histograms.percentile_ms(tallies.all_latencies(), TAIL_PERCENTILE),
         "ends": {str(outcome): count for outcome, count in tallies.outcomes.items()},
-        "plans": {name: tally.part for name, tally in sorted(tallies.plans.items())},
-        "lanes": {name: tally.part for name, tally in sorted(tallies.request_classes.items())},
+        "plans": {name: tally.fraction for name, tally in sorted(tallies.plans.items())},
+        "lanes": {name: tally.fraction for name, tally in sorted(tallies.request_classes.items())},
         "latency": {name: _percentiles(histogram) for name, histogram in latencies},
         "sketches": {name: histogram.encode().decode() for name, histogram in latencies},
         "series": {
@@ -191,7 +191,7 @@
 
 
 def _percentiles(histogram: HdrHistogram) -> dict[str, float]:
-    return {str(part): histograms.percentile_ms(histogram, part) for part in PERCENTILES}
+    return {str(percent): histograms.percentile_ms(histogram, percent) for percent in PERCENTILES}
 
 
 def _check_rules(simulation: SchedulerSimulation) -> dict[str, list[Any]]:
--- a/rushmux/lab/optimal_bound.py
+++ b/rushmux/lab/optimal_bound.py
@@ -1,11 +1,11 @@
-"""An upper bound on what any scheduler could serve in time on a day, from a flow with full knowledge.
-
-Time is cut into slots.  In each slot a node has its cores' seconds, at its speed then; an operation may
-be worked on in any slot between its arrival and the end of its latency objective, at the node that holds
-its data, or at any for a new object.  Whatever is unknown is taken in favour of the scheduler: sizes are
-rounded down to classes, a piece of data that was asked for before costs its cheaper part, deferred work
-costs nothing, operations may be cut in pieces over slots, messages take no time, and a node in slow start
-may be filled up to what it can do.  A solver (HiGHS, by scipy) maximises what is served.
+"""An upper bound on what any scheduler could serve in time, even one that knew the whole day in advance.
+
+Time is divided into slots.  In each slot a node offers its core-seconds at its current speed; an operation
+may be served in any slot between its arrival and its latency objective, by the node that holds its data, or
+by any node for a new object.  Whatever the program does not model favours the scheduler: sizes are rounded
+down to classes, a key that was accessed before has the lower cost, deferred work costs nothing, operations
+may be split over slots, messages take no time, and a node in slow start may be loaded up to its capacity.
+HiGHS, through scipy, maximizes the operations served.
 """
 
 from collections import defaultdict
@@ -26,33 +26,33 @@
 from rushmux.standins.service_model import Shape
 
 SLOT = 0.5  # seconds
-SIZE_CLASS_RATIO = 1.3  # of neighbouring size classes
-RUN_OUT = 5  # seconds after the day in which work may still be done
+SIZE_CLASS_RATIO = 1.3  # between neighbouring size classes
+EXTRA_TIME = 5  # seconds after the day in which work may still be done
 COST_DIGITS = 6  # of core-seconds, so that equal costs are grouped
 DOWN_KINDS = (FaultKind.SILENT, FaultKind.PARTITION, FaultKind.NODE_RESTART)
-SOLVED = 0  # status of scipy's solver
+SOLVED = 0  # status of scipy's `linprog`
 
 
 class SolverError(LabError):
-    """The solver gave no bound.
+    """The solver found no bound.
 
     Attributes:
-        reason: What it said.
+        reason: Its message.
     """
 
     def __init__(self, reason: str):
-        super().__init__(f"the solver ended with: {reason}")
+        super().__init__(f"the solver found no bound: {reason}")
         self.reason = reason
 
 
 class _OperationGroup(NamedTuple):
-    """Operations that are alike to the flow."""
+    """Operations that the linear program does not distinguish."""
 
     first_slot: int
     last_slot: int
     cell: int
     cost: float
-    """Core-seconds of each."""
+    """Core-seconds of each operation."""
 
 
 def _node_capacity(
@@ -60,30 +60,30 @@
 ) -> numpy.ndarray:
     """Core-seconds of a node in each slot."""
     middles = (numpy.arange(slot_count) + 0.5) * SLOT
-    part = numpy.ones(slot_count)
+    fraction = numpy.ones(slot_count)
     for event in events:
         if node_name(cell) in event.targets:
-            part = _under_fault(part, event, middles, fleet.machine)
-    return part * fleet.machine.cores * speed * SLOT
+            fraction = _fraction_after_fault(fraction, event, middles, fleet.machine)
+    return fraction * fleet.machine.cores * speed * SLOT
 
 
-def _under_fault(
-    part: numpy.ndarray, event: FaultEvent, middles: numpy.ndarray, machine: Shape
+def _fraction_after_fault(
+    fraction: numpy.ndarray, event: FaultEvent, middles: numpy.ndarray, machine: Shape
 ) -> numpy.ndarray:
-    """What a fault leaves of a node's capacity in each slot."""
+    """Applies one more fault to the fraction of a node's capacity that is left in each slot."""
     end = event.at + event.duration
-    # Only slots that lie wholly within a fault count as in it.
+    # Slots that the fault covers only partly keep their capacity: the bound must not be too low.
     within = (middles - SLOT / 2 >= event.at) & (middles + SLOT / 2 <= end)
     if event.kind in DOWN_KINDS:
-        part = numpy.where(within, 0.0, part)
+        fraction = numpy.where(within, 0.0, fraction)
     elif event.kind is FaultKind.SLOW:
-        part = numpy.where(within, part / max(1.0, event.size), part)
+        fraction = numpy.where(within, fraction / max(1.0, event.size), fraction)
     if event.kind is FaultKind.NODE_RESTART:
         age = numpy.clip(middles + SLOT / 2 - end, 0, None)
         slow_start = machine.cold_start + (1 - machine.cold_start) * age / machine.warm_within
-        after = numpy.minimum(part, numpy.minimum(1.0, slow_start))
-        part = numpy.where(middles >= end, after, part)
-    return part
+        after = numpy.minimum(fraction, numpy.minimum(1.0, slow_start))
+        fraction = numpy.where(middles >= end, after, fraction)
+    return fraction
 
 
 def _group_operations(
@@ -104,7 +104,7 @@
 
 
 def _least_cost(arrival: Arrival, machine: Shape, seen: set[str]) -> float:
-    """Core-seconds of an operation at speed 1, at least.  `seen`: keys that were asked for before."""
+    """The lowest cost of an operation, in core-seconds at speed 1; adds its key to those `seen`."""
     size_class = numpy.floor(numpy.log(arrival.units) / numpy.log(SIZE_CLASS_RATIO))
     cost = SIZE_CLASS_RATIO**size_class * machine.unit
     if arrival.key:
@@ -116,7 +116,7 @@
 
 
 class _LinearProgram:
-    """Variables are operations of a group worked on in a slot; constraints are capacities and counts."""
+    """The variables are a group's operations served in a slot; capacities and counts constrain them."""
 
     def __init__(self, capacities: Sequence[numpy.ndarray], slot_count: int):
         self.rows: list[int] = []
@@ -129,7 +129,7 @@
             for slot in range(slot_count)
             for cell, capacity in enumerate(capacities)
         }
-        # A new object may go anywhere: all nodes together are one, which only helps the scheduler.
+        # A new object may go to any node; one capacity for the whole fleet only favours the scheduler.
         self.fleet_rows = [
             self._add_constraint(sum(capacity[slot] for capacity in capacities)) for slot in range(slot_count)
         ]
@@ -144,7 +144,7 @@
         self.coefficients.append(value)
 
     def add_group(self, group: _OperationGroup, count: int) -> None:
-        """Adds the operations of a group: each may be done in any of its slots, and once."""
+        """Adds the operations of a group, each of which is served at most once, in any of its slots."""
         count_row = self._add_constraint(count)
         for slot in range(group.first_slot, group.last_slot + 1):
             column = len(self.upper_bounds)
@@ -155,7 +155,7 @@
             self._add_coefficient(count_row, column, 1.0)
 
     def solve(self) -> float:
-        """The most operations that can be done; infinity where there are none to do."""
+        """The most operations that can be served; infinity if there are none."""
         variable_count = len(self.upper_bounds)
         if not variable_count:
             return float("inf")
@@ -174,19 +174,19 @@
 
 
 def upper_bound(day: Day, seconds: float, speeds: Mapping[int, float] | None = None) -> float:
-    """Part of all operations that could be served in time, at most.
+    """The largest fraction of all operations that could be served in time.
 
     Args:
         day: The day.
         seconds: Its length.
-        speeds: Of the machines by cell; None: all have the one that the fleet states.
+        speeds: Speed of each cell's machine; None: all have the speed of the fleet's machine.
 
     Raises:
-        SolverError: The solver gave no bound.
+        SolverError: The solver found no bound.
     """
     fleet = day.fleet
     speeds = speeds or dict.fromkeys(range(fleet.node_count), fleet.machine.speed)
-    slot_count = int(numpy.ceil((seconds + RUN_OUT) / SLOT)) + 1
+    slot_count = int(numpy.ceil((seconds + EXTRA_TIME) / SLOT)) + 1
     capacities = [
         _node_capacity(cell, fleet, speeds[cell], day.events, slot_count) for cell in range(fleet.node_count)
     ]
--- a/rushmux/lab/plots.py
+++ b/rushmux/lab/plots.py
@@ -10,12 +10,12 @@
 from rushmux.lab.measurements import DayResult
 from rushmux.lab.run import Results
 
-matplotlib.use("Agg")  # before pyplot is imported: there is no display
+matplotlib.use("Agg")  # needs no display; has to precede the import of pyplot
 from matplotlib import pyplot
 from matplotlib.figure import Figure
 
 WIDTH, HEIGHT = 9.0, 2.6  # inches
-SMOOTHING = 3  # seconds over which lines are averaged
+SMOOTHING = 3  # seconds, window of the moving average
 COLOURS = ("#1b6ca8", "#d1495b", "#66a182", "#edae49", "#7d5ba6", "#5c5c5c")
 CONCLUSION_COLOURS = {Conclusion.BETTER: "#2b7a4b", Conclusion.WORSE: "#b00020"}
 NEUTRAL_COLOUR = "#777"
@@ -44,7 +44,7 @@
 
 
 def _new_figure(rows: int = 1, height: float = HEIGHT) -> tuple[Figure, Sequence]:
-    """A figure of rows of plots, with their axes."""
+    """A figure with a column of plots, and their axes."""
     figure, axes = pyplot.subplots(
         rows, 1, figsize=(WIDTH, height * rows), squeeze=False, constrained_layout=True
     )
@@ -55,11 +55,11 @@
 
 
 def plot_over_time(results: Results, kind: str) -> Figure:
-    """Operations in time beside those asked for, a second, as the mean over the seeds.
+    """Operations sent and those in time, per second, averaged over the seeds.
 
     Args:
         results: Without crashes.
-        kind: "plan" or "lane": what there is a plot for each of.
+        kind: "plan" or "lane" (request class), each of which gets a plot.
     """
     names = sorted({name for days in results.values() for day in days.values() for name in day["series"]})
     names = [name for name in names if name.startswith(kind)]
@@ -76,7 +76,7 @@
     for colour, (variant, days) in zip(COLOURS, results.items(), strict=False):
         series = numpy.mean([day["series"][name] for day in days.values() if name in day["series"]], axis=0)
         asked, in_time = _smooth(series[:, 0]), _smooth(series[:, 1])
-        if shows_asked:  # it is the same for all variants
+        if shows_asked:  # the same for all variants
             axis.fill_between(range(len(series)), asked, color="#ddd", label="asked")
             shows_asked = False
         axis.plot(in_time, color=colour, label=variant, lw=1.4)
@@ -86,7 +86,7 @@
 
 
 def plot_latency(results: Results) -> Figure:
-    """Latencies by percentile, all seeds together, a plot for each request class."""
+    """Latencies by percentile over all seeds, with a plot for each request class."""
     names = sorted({name for days in results.values() for day in days.values() for name in day["sketches"]})
     figure, axes = _new_figure(len(names))
     for axis, name in zip(axes, names, strict=True):
@@ -96,13 +96,13 @@
 
 
 def _plot_percentiles(axis, results: Results, name: str) -> None:
-    parts = numpy.concatenate([numpy.linspace(1, 90, 60), PERCENT - numpy.geomspace(9, 0.01, 40)])
+    percents = numpy.concatenate([numpy.linspace(1, 90, 60), PERCENT - numpy.geomspace(9, 0.01, 40)])
     for colour, (variant, days) in zip(COLOURS, results.items(), strict=False):
         encoded = [day["sketches"][name] for day in days.values() if name in day["sketches"]]
         merged = histograms.merge(encoded)
         if merged.get_total_count():
-            latencies = [histograms.percentile_ms(merged, part) for part in parts]
-            axis.plot(1 / (1 - parts / PERCENT), latencies, color=colour, label=variant, lw=1.4)
+            latencies = [histograms.percentile_ms(merged, percent) for percent in percents]
+            axis.plot(1 / (1 - percents / PERCENT), latencies, color=colour, label=variant, lw=1.4)
     axis.set_xscale("log")
     axis.set_yscale("log")
     axis.set_xticks([2, 10, 100, 1000, 10_000], ["50%", "90%", "99%", "99.9%", "99.99%"])
@@ -111,7 +111,7 @@
 
 
 def plot_nodes(days: Mapping[int, DayResult], title: str) -> Figure:
-    """Attempts in flight at the nodes and concurrency limits for them, on the first of the days."""
+    """Attempts in flight at each node and the concurrency limits for it, on the first of the days."""
     samples = next(iter(days.values()))["nodes"]
     height = max(MIN_NODES_HEIGHT, NODE_ROW_HEIGHT * len(_node_names(samples)) + 1)
     figure, axes = pyplot.subplots(1, 2, figsize=(WIDTH, height), constrained_layout=True)
@@ -123,12 +123,12 @@
 
 
 def _node_names(samples: Sequence) -> list[str]:
-    """The nodes of samples in the order of their numbers."""
+    """The names of the sampled nodes in numerical order."""
     return sorted(samples[0][1], key=lambda name: int(name[1:]))
 
 
 def _plot_heatmap(figure: Figure, axis, samples: Sequence, *, column: int, palette: str) -> None:
-    """A row for each node, so that tens of them can be read.  `column`: of the sample of a node."""
+    """Draws a row for each node, readable with tens of nodes; `column` indexes a node's sample."""
     names, times = _node_names(samples), [at for at, _ in samples]
     image = axis.imshow(
         numpy.array([[nodes[name][column] for _, nodes in samples] for name in names]),
@@ -144,14 +144,14 @@
 
 
 def plot_differences(differences: Sequence[Difference]) -> Figure:
-    """Each variant's difference in each measure, with its interval."""
+    """Each variant's difference in each measure, with its confidence interval."""
     shown = [row for row in differences if not lower_is_better(row.measure)]
     height = max(MIN_DIFFERENCES_HEIGHT, DIFFERENCE_ROW_HEIGHT * len(shown) + DIFFERENCES_MARGIN)
     figure, (axis,) = _new_figure(1, height)
-    for place, row in enumerate(shown):
+    for index, row in enumerate(shown):
         colour = CONCLUSION_COLOURS.get(row.conclusion, NEUTRAL_COLOUR)
-        axis.plot([row.low, row.high], [place, place], color=colour, lw=3, solid_capstyle="butt")
-        axis.plot([row.mean], [place], "o", color=colour, ms=5)
+        axis.plot([row.low, row.high], [index, index], color=colour, lw=3, solid_capstyle="butt")
+        axis.plot([row.mean], [index], "o", color=colour, ms=5)
     axis.axvline(0, color="#222", lw=0.8)
     labels = [f"{row.variant}: {MEASURE_TITLES[row.measure]}" for row in shown]
     axis.set_yticks(range(len(shown)), labels, fontsize=8)
--- a/rushmux/lab/result_store.py
+++ b/rushmux/lab/result_store.py
@@ -1,4 +1,4 @@
-"""Results of experiments in an embedded database: a row for each variant and seed, whole or not there."""
+"""Results of experiments in an SQLite database, with one atomically written row per variant and seed."""
 
 import hashlib
 import json
@@ -35,27 +35,27 @@
 
 
 class ResultKey(NamedTuple):
-    """What names a result."""
+    """Identifies a result."""
 
     digest: str
-    """Of experiment and variant (`experiment_digest`)."""
+    """Digest of experiment and variant (`experiment_digest`)."""
     scheduler: str
     """Digest of the source of the scheduler."""
     seed: int
 
 
 def experiment_digest(experiment: Experiment, variant: Variant) -> str:
-    """Names what is simulated: the experiment without its seeds and other variants, and the variant."""
+    """Identifies what is simulated: the variant, and the experiment without seeds and other variants."""
     text = {name: value for name, value in experiment.items() if name not in NOT_IN_DIGEST}
     encoded = json.dumps([text, variant], sort_keys=True).encode()
     return hashlib.blake2b(encoded, digest_size=DIGEST_BYTES).hexdigest()
 
 
 class ResultStore:
-    """One file of results.  A row holds the commit that it was made on and the digest of the scheduler.
+    """One file of results; each row has the commit that it was made on and the digest of the scheduler.
 
     Raises:
-        ResultStoreError: The file is no store, or one of another format.
+        ResultStoreError: The file is not a result store, or has another format.
     """
 
     def __init__(self, path: str | Path):
@@ -67,7 +67,7 @@
             self.connection.execute(CREATE_ABOUT)
             self._check_format(path)
         except sqlite3.DatabaseError as error:
-            raise ResultStoreError(path, f"is no store of results: {error}") from error
+            raise ResultStoreError(path, f"is not a store of results: {error}") from error
 
     def _check_format(self, path: str | Path) -> None:
         row = self.connection.execute("select value from about where name = 'format'").fetchone()
@@ -81,7 +81,7 @@
             )
 
     def put(self, key: ResultKey, variant: str, revision: str, result: DayResult) -> None:
-        """Writes a result, in place of one of the same key."""
+        """Writes a result; replaces one with the same key."""
         blob = zlib.compress(json.dumps(result).encode())
         with self.connection:
             self.connection.execute(
@@ -90,7 +90,7 @@
             )
 
     def get(self, key: ResultKey) -> DayResult | None:
-        """The result of a key; None where there is none, or its row is damaged."""
+        """The result with a key, or None if it is missing or its row is damaged."""
         row = self.connection.execute(
             "select outcome, sum from results where what = ? and module = ? and seed = ?", key
         ).fetchone()
--- a/rushmux/lab/run.py
+++ b/rushmux/lab/run.py
@@ -1,4 +1,4 @@
-"""Runs experiments: variants by seeds over the cores, stored as they end, until the differences are clear."""
+"""Runs experiments: simulates variants on the same seeds, in parallel, until the differences are clear."""
 
 import subprocess
 import traceback
@@ -15,12 +15,12 @@
 from rushmux.lab.variants import ROOT, SchedulerSource, load_source, scheduler_type
 from rushmux.worker_pool import worker_pool
 
-MAX_CRASHES = 3  # of a variant that the text tells
-TRACEBACK_FRAMES, TRACEBACK_LINES = 3, 4  # that the result of a crash holds
-STOP_MEASURE = "in_time"  # the measure whose intervals decide when an experiment ends
+MAX_LISTED_CRASHES = 3  # of a variant, in the summary
+TRACEBACK_FRAMES, TRACEBACK_LINES = 3, 4  # kept in the result of a crash
+STOP_MEASURE = "in_time"  # an experiment ends when the intervals of this measure are narrow
 
 Results = dict[str, dict[int, DayResult]]
-"""The result of each seed, by variant."""
+"""Results by variant and seed."""
 
 
 class _Run(NamedTuple):
@@ -33,7 +33,7 @@
 def simulate(
     experiment: Experiment, variant: Variant, scheduler_source: SchedulerSource, seed: int
 ) -> DayResult:
-    """Simulates one day; a variant that crashes gives its exception in place of numbers."""
+    """Simulates one day; the result of a variant that crashes is its exception."""
     try:
         day = draw_day(experiment, variant, seed)
         make_scheduler = scheduler_type(variant, scheduler_source)
@@ -41,7 +41,7 @@
         simulation.run(day.arrivals, day.events, experiment["seconds"])
         return measure(simulation, experiment["seconds"])
     except Exception as error:
-        # A variant may be any change of the scheduler: whatever it raises is its result.
+        # A variant may change the scheduler in any way and so raise anything.
         return {
             "crashed": f"{type(error).__name__}: {error}",
             "where": traceback.format_exc(limit=-TRACEBACK_FRAMES).splitlines()[-TRACEBACK_LINES:],
@@ -49,7 +49,7 @@
 
 
 def current_revision() -> str:
-    """The short hash of the commit that is checked out, "unknown" without a repository."""
+    """The short hash of the checked-out commit, or "unknown" without a repository."""
     command = ["git", "-C", str(ROOT), "rev-parse", "--short", "HEAD"]
     found = subprocess.run(command, capture_output=True, text=True, check=False)
     return found.stdout.strip() or "unknown"
@@ -59,7 +59,7 @@
     """Runs one experiment.
 
     Attributes:
-        results: Of the days that are done.
+        results: Results of the completed days.
     """
 
     def __init__(self, experiment: Experiment, store: ResultStore, on_progress: Callable[[str], None]):
@@ -90,7 +90,7 @@
         return compare.is_narrow(completed, STOP_MEASURE, self.experiment["seeds"]["narrow"])
 
     def _run_batch(self, pool: ProcessPoolExecutor, seeds: Sequence[int]) -> None:
-        """Takes what the store has of a batch, and simulates the rest."""
+        """Loads the stored results of a batch and simulates the rest."""
         pending: dict[Future, _Run] = {}
         for seed in seeds:
             for variant in self.variants:
@@ -126,19 +126,19 @@
     jobs: int,
     on_progress: Callable[[str], None] = lambda text: None,
 ) -> Results:
-    """Runs an experiment until it is clear or its seeds are used up.
+    """Runs an experiment until its differences are clear or its seeds are used up.
 
-    Seeds that the store has are not run again.  The order in which days end changes nothing: what is
-    decided at a batch of seeds is decided when all of it is there.
+    Stored results are not simulated again.  The order in which days complete has no effect: whether to go on
+    is decided after a whole batch of seeds.
 
     Raises:
-        SourceError: The scheduler of a variant is not there.
+        SourceError: The scheduler of a variant does not exist.
     """
     return ExperimentRunner(experiment, store, on_progress).run(jobs)
 
 
 def without_crashes(results: Results) -> Results:
-    """The results of the days that did not crash, of the variants that have any."""
+    """The results of days that did not crash; variants without any are left out."""
     return {
         name: {seed: day for seed, day in days.items() if "crashed" not in day}
         for name, days in results.items()
@@ -170,4 +170,4 @@
         values = " ".join(f"{name} {mean:.3f}" for name, mean in means.items())
     rules = f"RULES BROKEN on {broken} days" if broken else "rules kept"
     line = f"  {variant:24} {len(completed):3} days  {values}  {rules}"
-    return [line, *(f"    crashed: {text}" for text in crashes[:MAX_CRASHES])]
+    return [line, *(f"    crashed: {text}" for text in crashes[:MAX_LISTED_CRASHES])]
--- a/rushmux/lab/saved_day.py
+++ b/rushmux/lab/saved_day.py
@@ -1,4 +1,4 @@
-"""Days that a search found, kept in files and simulated again as regression tests."""
+"""Days found by a search, saved to files and simulated again as regression tests."""
 
 import json
 from pathlib import Path
@@ -11,12 +11,12 @@
 from rushmux.lab.search import Candidate, SimulatedDay, simulate_day
 
 FORMAT = 1
-TOLERANCE = 0.03  # part served less than when it was saved that still passes
-NOT_SAVED = ("variants", "seeds", "troubles")  # of the experiment
+TOLERANCE = 0.03  # loss of the fraction served since the day was saved that still passes
+NOT_SAVED = ("variants", "seeds", "troubles")  # keys of the experiment
 
 
 class SavedDayError(LabError):
-    """A file that is no saved day; the text says why.
+    """A file is not a saved day; the text says why.
 
     Attributes:
         path: The file.
@@ -28,23 +28,23 @@
 
 
 class SavedDay(NamedTuple):
-    """What a file of a saved day holds."""
+    """The content of a saved day's file."""
 
     experiment: Experiment
     seed: int
     served: float
-    """Part served in time when it was saved."""
+    """Fraction served in time when it was saved."""
 
 
 class ReplayResult(NamedTuple):
-    """Whether a saved day still passes, and plain text of what was seen."""
+    """Whether a saved day still passes, with a summary as plain text."""
 
     passes: bool
     text: str
 
 
 def save(path: str | Path, experiment: Experiment, day: SimulatedDay) -> None:
-    """Writes a day that `replay` simulates again."""
+    """Saves a day for `replay`."""
     content = {
         "format": FORMAT,
         "experiment": {name: value for name, value in experiment.items() if name not in NOT_SAVED},
@@ -62,32 +62,32 @@
     """Reads a saved day.
 
     Raises:
-        SavedDayError: The file cannot be read or is no saved day.
+        SavedDayError: The file cannot be read or is not a saved day.
     """
     try:
         with open(path) as file:
             content = json.load(file)
         if content["format"] != FORMAT:
             raise SavedDayError(path, f"{path}: format {content['format']}, this reads {FORMAT}")
-        stated = {
+        raw = {
             **content["experiment"],
             "troubles": content["troubles"],
             "variants": [{"name": "module"}],
         }
-        return SavedDay(check(stated, str(path)), int(content["seed"]), float(content["served"]))
+        return SavedDay(check(raw, str(path)), int(content["seed"]), float(content["served"]))
     except (OSError, ValueError, KeyError, TypeError) as error:
-        raise SavedDayError(path, f"{path}: is no saved day: {error}") from error
+        raise SavedDayError(path, f"{path}: is not a saved day: {error}") from error
     except ExperimentError as error:
         raise SavedDayError(path, str(error)) from error
 
 
 def replay(path: str | Path, tolerance: float = TOLERANCE) -> ReplayResult:
-    """Simulates a saved day with the scheduler as it is.
+    """Simulates a saved day with the current scheduler.
 
-    It passes where the rules are kept and no less is served than when it was saved, but for the tolerance.
+    It passes if no rule is broken and, within the tolerance, at least as much is served as when it was saved.
 
     Raises:
-        SavedDayError: The file cannot be read or is no saved day.
+        SavedDayError: The file cannot be read or is not a saved day.
     """
     saved = load(path)
     variant = saved.experiment["variants"][0]
--- a/rushmux/lab/scheduler_simulation.py
+++ b/rushmux/lab/scheduler_simulation.py
@@ -1,8 +1,7 @@
-"""A day of a fleet with the real scheduler of every gateway and emulated nodes, without sockets.
+"""Simulates a day of a fleet with the real scheduler in each gateway and emulated nodes, without sockets.
 
-For the largest fleets: the same machines (`standins.service_model`), scheduler and rounds as the real edge;
-an operation is one access.  The records are those of `standins.checker`, so that each day can be judged by
-the rules.
+Suits the largest fleets.  Scheduler and rounds are those of the real edge, machines those of
+`standins.service_model`; an operation is one access.  The records let `standins.checker` check the rules.
 """
 
 from collections import defaultdict
@@ -25,25 +24,25 @@
 from rushmux.scheduling.scheduler import Scheduler
 from rushmux.settings.deployment import Deployment
 
-SAMPLE_INTERVAL = 0.5  # seconds between two samples of concurrency limits and queues
+SAMPLE_INTERVAL = 0.5  # seconds between two samples of the nodes
 SAMPLED_GATEWAYS = 40  # gateways whose concurrency limits are sampled
-RUN_OUT = 4.0  # seconds beside the longest deadline simulated after the last arrival
+EXTRA_TIME = 4.0  # seconds simulated after the day, in addition to the longest deadline
 
 
 class NodeSample(NamedTuple):
-    """One look at a node."""
+    """A sample of one node."""
 
     in_flight: int
     """Attempts at the node."""
     median_limit: float
-    """Of the sampled gateways' concurrency limits for it."""
+    """Median of the sampled gateways' concurrency limits for the node."""
 
 
 class Sample(NamedTuple):
-    """One look at all nodes."""
+    """A sample of all nodes."""
 
     at: float
-    """Seconds from the begin of the day."""
+    """Seconds from the start of the day."""
     nodes: dict[str, NodeSample]
 
 
@@ -51,9 +50,9 @@
     """One day of one fleet.
 
     Attributes:
-        completed: How each operation ended.
-        samples: Looks at the nodes, `SAMPLE_INTERVAL` apart.
-        discovery_lag: Seconds until a change of a node reaches the gateways.
+        completed: The outcome of each operation.
+        samples: Samples of the nodes, `SAMPLE_INTERVAL` apart.
+        discovery_lag: Seconds until a node's change of state reaches the gateways.
     """
 
     def __init__(
@@ -102,7 +101,7 @@
 
     @property
     def records(self) -> list[dict[str, Any]]:
-        """The records of the day for `standins.checker`."""
+        """Records of the day for `standins.checker`."""
         return self.context.recorder.records
 
     @property
@@ -111,7 +110,7 @@
         return self.context.recorder.enabled
 
     def publish_state(self, node: SimulatedNode, state: EndpointState) -> None:
-        """Tells every gateway of a change of a node, after the lag of discovery."""
+        """Sends a node's new state to every gateway after the discovery lag."""
         online_since = int(node.online_since * TICKS_PER_SECOND)
         node.endpoint = Endpoint(node.name, node.cell, node.zone, state, online_since)
         for gateway in self.gateways:
@@ -126,13 +125,13 @@
         seconds: float,
         on_progress: Callable[[int], None] = lambda second: None,
     ) -> None:
-        """Simulates a day; `completed`, `samples` and `records` tell of it then.
+        """Simulates a day and fills `completed`, `samples` and `records`.
 
         Args:
-            arrivals: Operations of the clients in the order of time.
+            arrivals: Operations of the clients, ordered by time.
             events: Faults of the day.
             seconds: Length of the day.
-            on_progress: Called with each second that was simulated.
+            on_progress: Called with each simulated second.
         """
         clock = self.context.clock
         start = clock.time()
@@ -146,10 +145,10 @@
             on_progress(second)
         request_classes = self.context.deployment.settings.request_classes
         longest = max(request_class.deadline for request_class in request_classes.values())
-        clock.run(start + seconds + RUN_OUT + longest / TICKS_PER_SECOND)
+        clock.run(start + seconds + EXTRA_TIME + longest / TICKS_PER_SECOND)
 
     def _schedule_next_arrival(self, arrivals: Iterable[Arrival], start: float) -> None:
-        """Sets a timer for the next arrival alone: a day has millions."""
+        """Schedules only the next arrival, since a day has millions."""
         for arrival in arrivals:
             self.context.clock.call_at(start + arrival.at, self._on_arrival, arrival, arrivals, start)
             return
@@ -159,7 +158,7 @@
         self._send(arrival)
 
     def _send(self, arrival: Arrival, client_attempt: int = 1) -> None:
-        """A client sends its operation to its gateway."""
+        """Sends a client's operation to its gateway."""
         gateway = self.gateways[arrival.gateway % len(self.gateways)]
         operation = SimulatedOperation(arrival, self.context.clock.time(), client_attempt)
         if gateway.alive:
@@ -174,7 +173,7 @@
         outcome: ClientOutcome,
         retry_after: float,
     ) -> None:
-        """A client has its final answer, or knows that there is none: it retries or is done."""
+        """Handles a final answer, or the loss of it: the client retries or the operation is complete."""
         context, arrival = self.context, operation.arrival
         now = context.clock.time()
         if operation.op_id and outcome is not ClientOutcome.LOST:
@@ -209,7 +208,7 @@
         clock.call_later(SAMPLE_INTERVAL, self._sample)
 
     def _concurrency_limits(self) -> dict[str, list[float]]:
-        """The sampled gateways' limits for each node; schedulers to compare with have none."""
+        """The sampled gateways' limits for each node; baseline schedulers have none."""
         limits = defaultdict(list)
         for gateway in self.gateways[:SAMPLED_GATEWAYS]:
             endpoints = getattr(gateway.scheduler, "endpoints", None)
--- a/rushmux/lab/search.py
+++ b/rushmux/lab/search.py
@@ -1,10 +1,9 @@
-"""Looks for the worst day within an experiment's ranges, and shrinks it to the faults that matter.
+"""Searches an experiment's ranges for the worst day, and shrinks it to the faults that matter.
 
-A day is a seed (arrivals, machines, and what fault lines draw) and fault lines of its own.  The search is
-simulated annealing over both: it changes a number within a line's range, takes a line in or out, or takes
-another seed, and goes on from the worse of two days mostly.  Considered: a bandit over kinds of faults
-finds the worst kind, not how kinds meet; a library's optimiser (scipy's dual annealing) wants a box of
-numbers of one length, and lines come and go.
+A day is a seed (which determines arrivals, machine speeds and targets of faults) and a set of fault lines.
+The search is simulated annealing over both: a move changes a number within a line's range, adds or removes a
+line, or changes the seed.  A bandit over kinds of faults would find the worst kind but no combinations, and
+an optimizer such as scipy's dual annealing needs a fixed number of variables, while lines come and go.
 """
 
 import random
@@ -19,16 +18,16 @@
 from rushmux.lab.variants import SchedulerSource
 from rushmux.worker_pool import worker_pool
 
-INITIAL_TEMPERATURE, FINAL_TEMPERATURE = 0.05, 0.002  # part served more that is accepted with even chance
-SHRINK_TOLERANCE = 0.02  # part served that a shrunk day may be better than the whole one
-MAX_LINES = 12  # of a day
+INITIAL_TEMPERATURE, FINAL_TEMPERATURE = 0.05, 0.002  # increases of the score accepted half the time
+SHRINK_TOLERANCE = 0.02  # increase of the score accepted when a line is removed
+MAX_LINES = 12  # in a day
 MAX_INITIAL_LINES = 3
 MAX_CHAINS, MIN_DAYS_PER_CHAIN = 8, 4
 MAX_SEED = 1 << 30
-BROKEN_RULE_BADNESS = -1.0  # a day with a broken rule is worse than any without
+BROKEN_RULE_SCORE = -1.0  # makes a day with a broken rule worse than any without
 RANGE_FIELDS = ("size", "at", "duration")
-NUMBER_DIGITS = 2  # of the numbers drawn from ranges
-# Chances of the moves; what is left changes a number of a line.
+NUMBER_DIGITS = 2  # decimals of numbers drawn from ranges
+# Cumulative probabilities of the moves; the remaining move changes a number of a line.
 NEW_SEED, ADD_LINE, REMOVE_LINE = 0.15, 0.4, 0.55
 KEPT_FIELDS = (
     "in_time",
@@ -51,11 +50,11 @@
 
     seed: int
     lines: tuple[str, ...]
-    """Its faults in the notation."""
+    """Its fault lines, in the notation of `faults`."""
 
 
 class SimulatedDay(NamedTuple):
-    """A day that was simulated: how much was served in time, and the rules that broke."""
+    """A simulated day with the fraction served in time and the broken rules."""
 
     seed: int
     lines: tuple[str, ...]
@@ -66,8 +65,8 @@
 
     @property
     def score(self) -> float:
-        """What the search makes small."""
-        return (BROKEN_RULE_BADNESS if self.broken else 0.0) + self.served
+        """The value that the search minimizes."""
+        return (BROKEN_RULE_SCORE if self.broken else 0.0) + self.served
 
 
 def simulate_day(
@@ -76,7 +75,7 @@
     scheduler_source: SchedulerSource,
     candidate: Candidate,
 ) -> SimulatedDay:
-    """Simulates a day of an experiment with other faults."""
+    """Simulates a day of an experiment with the faults of a candidate."""
     seed, lines = candidate
     changed = {**experiment, "troubles": list(lines)}
     result = simulate(changed, variant, scheduler_source, seed)
@@ -88,7 +87,7 @@
 
 
 class _DaySimulator:
-    """Simulates candidates of an experiment's first variant on several cores."""
+    """Simulates candidates with an experiment's first variant, on several cores."""
 
     def __init__(self, experiment: Experiment, pool: ProcessPoolExecutor):
         self.experiment, self.pool = experiment, pool
@@ -110,7 +109,7 @@
 
 
 class Neighbourhood:
-    """Draws days that are near a day."""
+    """Draws initial candidates and neighbours of days."""
 
     def __init__(self, ranges: Sequence[FaultLine], generator: random.Random):
         self.ranges, self.generator = ranges, generator
@@ -123,7 +122,7 @@
         return Candidate(seed, tuple(self._draw_point(line).text() for line in lines))
 
     def neighbour(self, day: SimulatedDay) -> Candidate:
-        """Another day near a day."""
+        """A candidate one move away from a day."""
         lines, move = list(day.lines), self.generator.random()
         if move < NEW_SEED or not self.ranges:
             return Candidate(self.generator.randrange(MAX_SEED), tuple(lines))
@@ -133,17 +132,17 @@
         elif move < REMOVE_LINE and len(lines) > 1:
             lines.pop(self.generator.randrange(len(lines)))
         else:
-            place = self.generator.randrange(len(lines))
-            lines[place] = self._with_another_number(lines[place])
+            index = self.generator.randrange(len(lines))
+            lines[index] = self._with_another_number(lines[index])
         return Candidate(day.seed, tuple(lines))
 
     def _unused_ranges(self, lines: Sequence[str]) -> list[FaultLine]:
-        """Each line of the ranges stands for one fault: none comes twice in a day."""
+        """The ranges that a day has no line of; each range gives at most one line."""
         used = {_fault_key(line) for line in faults.parse(lines)}
         return [line for line in self.ranges if _fault_key(line) not in used]
 
     def _draw_point(self, line: FaultLine) -> FaultLine:
-        """A line with one number of each of its ranges."""
+        """A line with a number drawn from each range."""
         numbers = {name: self._draw_number(getattr(line, name)) for name in RANGE_FIELDS}
         return line._replace(**numbers)
 
@@ -153,8 +152,8 @@
 
     def _with_another_number(self, text: str) -> str:
         (line,) = faults.parse([text])
-        same = [one for one in self.ranges if _fault_key(one) == _fault_key(line)]
-        drawn = self._draw_point(self.generator.choice(same or self.ranges))
+        matching = [span for span in self.ranges if _fault_key(span) == _fault_key(line)]
+        drawn = self._draw_point(self.generator.choice(matching or self.ranges))
         name = self.generator.choice(RANGE_FIELDS)
         return line._replace(**{name: getattr(drawn, name)}).text()
 
@@ -170,7 +169,7 @@
     jobs: int,
     on_progress: OnProgress = lambda text: None,
 ) -> SimulatedDay:
-    """The worst day of so many; the same seed and number of jobs find the same one."""
+    """Returns the worst of `days` simulated days; repeatable with the same seed and number of jobs."""
     generator = random.Random(seed)
     neighbourhood = Neighbourhood(faults.parse(experiment["troubles"]), generator)
     chains = min(jobs, max(1, days // MIN_DAYS_PER_CHAIN), MAX_CHAINS)
@@ -193,12 +192,12 @@
 
 
 def _temperature(done: float) -> float:
-    """Falls from the initial to the final one; `done`: part of the rounds."""
+    """Falls from the initial to the final temperature; `done` is the fraction of the rounds done."""
     return INITIAL_TEMPERATURE * (FINAL_TEMPERATURE / INITIAL_TEMPERATURE) ** done
 
 
 def _accepts(old: SimulatedDay, new: SimulatedDay, temperature: float, generator: random.Random) -> bool:
-    """Whether a chain goes on from the new day: always where that is worse, else by chance."""
+    """Whether a chain continues from the new day: always if that is worse, else by chance."""
     worse_by = old.score - new.score
     return worse_by >= 0 or generator.random() < 0.5 ** (-worse_by / temperature)
 
@@ -218,7 +217,7 @@
     jobs: int,
     on_progress: OnProgress = lambda text: None,
 ) -> SimulatedDay:
-    """The day without the lines that it is as bad without."""
+    """Removes fault lines for as long as the day stays about as bad."""
     with worker_pool(jobs) as pool:
         simulator = _DaySimulator(experiment, pool)
         while len(day.lines) > 1:
@@ -232,12 +231,12 @@
 
 
 def _without_one_line(day: SimulatedDay) -> Iterator[Candidate]:
-    for place in range(len(day.lines)):
-        yield Candidate(day.seed, day.lines[:place] + day.lines[place + 1 :])
+    for index in range(len(day.lines)):
+        yield Candidate(day.seed, day.lines[:index] + day.lines[index + 1 :])
 
 
 def summarize(worst: SimulatedDay, shrunk: SimulatedDay) -> list[str]:
-    """Plain text of what a search found."""
+    """The result of a search as plain text."""
     result = shrunk.result
     lines = [
         f"worst day: seed {worst.seed}, {worst.served:.3f} in time, {len(worst.lines)} lines; "
--- a/tests/lab/test_result_store.py
+++ b/tests/lab/test_result_store.py
@@ -21,7 +21,7 @@
     assert result.exit_code == 1 and "format 9, this reads 1" in result.output
     (tmp_path / "results.sqlite").write_bytes(b"no store at all" * 100)
     result = run_small(tmp_path)
-    assert result.exit_code == 1 and "no store of results" in result.output
+    assert result.exit_code == 1 and "is not a store of results" in result.output
 
 
 def test_a_damaged_row_counts_as_missing(make_store):
