--- a/rushmux/lab/search.py
+++ b/rushmux/lab/search.py
@@ -152,7 +152,7 @@
 
     def _with_another_number(self, text: str) -> str:
         (line,) = faults.parse([text])
-        matching = [span for span in self.ranges if _fault_key(span) == _fault_key(line)]
+        matching = [other for other in self.ranges if _fault_key(other) == _fault_key(line)]
         drawn = self._draw_point(self.generator.choice(matching or self.ranges))
         name = self.generator.choice(RANGE_FIELDS)
         return line._replace(**{name: getattr(drawn, name)}).text()
--- a/rushmux/lab/simulated_gateway.py
+++ b/rushmux/lab/simulated_gateway.py
@@ -1,4 +1,4 @@
-"""An emulated gateway of the scheduler simulation: the real scheduler on the simulated clock."""
+"""An emulated gateway of the scheduler simulation, with the real scheduler on the simulated clock."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -29,14 +29,14 @@
 
 @dataclass(eq=False, slots=True)
 class SimulatedOperation:
-    """One attempt of a client's operation, at its gateway."""
+    """One attempt of a client's operation at its gateway."""
 
     arrival: Arrival
     sent_at: float
     """Simulated time, in seconds."""
     client_attempt: int
     op_id: str = ""
-    """"" until the gateway takes it."""
+    """"" until the gateway accepts it."""
     number: int = 0
     attempts_started: int = 0
     timeouts: dict[int, Timer] = field(default_factory=dict)
@@ -49,11 +49,11 @@
 
 
 class SimulatedGateway:
-    """Feeds a scheduler with events in rounds and carries out what it decides (`SchedulerActions`).
+    """Delivers events to a scheduler in rounds and carries out its decisions (`SchedulerActions`).
 
     Attributes:
         partitioned: Whether no message gets through.
-        paused_until: Simulated time until which its process does not run.
+        paused_until: Simulated time at which its process runs again.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self.start()
 
     def start(self) -> None:
-        """Starts its process with no state but the endpoint list."""
+        """Starts its process with no state except the endpoint list."""
         self.start_count += 1
         self.alive = True
         self.operations: dict[str, SimulatedOperation] = {}
@@ -91,7 +91,7 @@
         return int(self.context.clock.time() * TICKS_PER_SECOND)
 
     def crash(self) -> None:
-        """Ends its process: its operations are lost."""
+        """Kills its process; its operations are lost."""
         self.context.recorder.record("killed", edge=self.name, start=f"{self.start_count:x}")
         self.alive = False
         operations, self.operations = self.operations, {}
@@ -101,7 +101,7 @@
                 self.on_answer(self, operation, ClientOutcome.LOST, 0)
 
     def deliver(self, handler: Callable, *arguments: Any) -> None:
-        """Handles an event and runs a round after all that are due with it; a paused gateway does later."""
+        """Handles an event, after a pause if there is one, and runs a round after all events due by then."""
         clock = self.context.clock
         if clock.time() < self.paused_until:
             clock.call_at(self.paused_until, self.deliver, handler, *arguments)
@@ -119,7 +119,7 @@
             self.scheduler.run_round(self.now())
 
     def update_endpoints(self, endpoints: Sequence[Endpoint], kind: UpdateKind = UpdateKind.DELTA) -> None:
-        """An update of the endpoint list arrives."""
+        """Handles an update of the endpoint list."""
         self.context.recorder.record(
             "told",
             edge=self.name,
@@ -129,7 +129,7 @@
         self.scheduler.on_endpoints(self.now(), kind, endpoints)
 
     def submit(self, operation: SimulatedOperation) -> None:
-        """Takes an operation of a client."""
+        """Accepts an operation of a client."""
         if not self.alive:
             self.on_answer(self, operation, ClientOutcome.LOST, 0)
             return
@@ -162,11 +162,11 @@
 
     @property
     def session(self) -> str:
-        """The session of this start's clients in the records."""
+        """Session of the clients since the last start, as in the records."""
         return f"{self.op_id_prefix}/c"
 
     def _time_left(self, operation: SimulatedOperation) -> Ticks:
-        """What a client still waits: what it has waited for a paused gateway is gone."""
+        """Time that the client still waits: its deadline less the time since it sent the operation."""
         arrival = operation.arrival
         request_class = self.context.deployment.settings.request_classes[arrival.request_class]
         time_left = int(request_class.deadline * arrival.deadline_fraction)
@@ -180,7 +180,7 @@
         result: AttemptResult,
         remote_usage: float = 0.0,
     ) -> None:
-        """An attempt came back, timed out or was cancelled; ignored where it is not in flight any more."""
+        """Handles the result of an attempt; ignored if the attempt is no longer in flight."""
         if number not in operation.timeouts or not operation.op_id.startswith(self.op_id_prefix):
             return
         operation.timeouts.pop(number).cancel()
@@ -223,11 +223,11 @@
         self.network.send(self.nodes[node], SimulatedAttempt(self, operation, number, timeout))
 
     def shed(self, op_id: str, retry_after: Ticks) -> None:
-        """Answers that an operation did not and will not run."""
+        """Tells the client that its operation did not and will not run."""
         self._answer(self.operations[op_id], ClientOutcome.SHED, retry_after / TICKS_PER_SECOND)
 
     def fail(self, op_id: str) -> None:
-        """Answers that an operation is given up and may have run."""
+        """Tells the client that its operation was abandoned and may have run."""
         self._answer(self.operations[op_id], ClientOutcome.FAILED, 0)
 
     def cancel_attempt(self, op_id: str, attempt: int) -> None:
@@ -236,9 +236,9 @@
         self.context.clock.call_soon(self.deliver, self.on_reply, operation, attempt, AttemptResult.CANCELLED)
 
     def request_load_report(self, node: str) -> None:
-        """Asks a node for its load; the report arrives with the next round."""
-        asked = self.nodes.get(node)
-        load = asked.service_model.load_sample() if asked is not None and asked.alive else None
+        """Requests a node's load; the report arrives in the next round."""
+        target = self.nodes.get(node)
+        load = target.service_model.load_sample() if target is not None and target.alive else None
         self.context.clock.call_soon(self.deliver, self._on_load_report, node, load)
 
     def _on_load_report(self, node: str, load: LoadSample | None) -> None:
@@ -248,16 +248,16 @@
             self.scheduler.on_load_report(node, AttemptResult.SUCCEEDED, load.queue, load.service)
 
     def wake_after(self, delay: Ticks) -> None:
-        """Runs a round after a delay; replaces the one asked for before."""
+        """Schedules a round after a delay, in place of one scheduled before."""
         if self.wake_timer is not None:
             self.wake_timer.cancel()
         self.wake_timer = self.context.clock.call_later(delay / TICKS_PER_SECOND, self.deliver, self._on_wake)
 
     def _on_wake(self) -> None:
-        """Nothing to take in: the round that follows is what was asked for."""
+        """Has nothing to do: `deliver` runs the round."""
 
     def poll_endpoints(self) -> None:
-        """Updates of the endpoint list come by themselves here."""
+        """Does nothing: updates of the endpoint list are pushed."""
 
     def report_volume(self, event: VolumeEvent) -> None:
-        """Nobody reads a log here."""
+        """Does nothing: a simulation has no log."""
--- a/rushmux/lab/simulated_network.py
+++ b/rushmux/lab/simulated_network.py
@@ -1,4 +1,4 @@
-"""The emulated network between gateways and nodes: one-way delays and partitions."""
+"""The emulated network between gateways and nodes, with one-way delays and partitions."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -9,13 +9,13 @@
     from rushmux.lab.simulated_gateway import SimulatedGateway, SimulatedOperation
     from rushmux.lab.simulated_node import SimulatedNode
 
-IN_ZONE_DELAY = (0.0002, 0.0015)  # seconds one way within a zone
-CROSS_ZONE_DELAY = (0.0008, 0.003)  # seconds one way between two
-CONNECT_FAILURE_DELAY = IN_ZONE_DELAY[1]  # seconds until a gateway knows that it got no connection
+IN_ZONE_DELAY = (0.0002, 0.0015)  # one-way seconds within a zone
+CROSS_ZONE_DELAY = (0.0008, 0.003)  # one-way seconds between two zones
+CONNECT_FAILURE_DELAY = IN_ZONE_DELAY[1]  # seconds until a gateway notices a failure to connect
 
 
 class SimulatedAttempt(NamedTuple):
-    """An attempt on its way from a gateway to a node."""
+    """An attempt sent from a gateway to a node."""
 
     gateway: "SimulatedGateway"
     operation: "SimulatedOperation"
@@ -24,13 +24,13 @@
 
 
 class SimulatedNetwork:
-    """Carries attempts to nodes and replies to gateways, each after a drawn delay."""
+    """Delivers attempts to nodes and replies to gateways, each after a random delay."""
 
     def __init__(self, context: SimulationContext):
         self.clock, self.generator = context.clock, context.generator
 
     def send(self, node: "SimulatedNode", attempt: SimulatedAttempt) -> None:
-        """Carries an attempt to a node, or tells its gateway that there is no connection."""
+        """Delivers an attempt to a node, or reports to its gateway that the connection failed."""
         gateway = attempt.gateway
         if not node.accepts_connection(gateway):
             self.clock.call_later(
@@ -51,7 +51,7 @@
         result: AttemptResult,
         remote_usage: float = 0.0,
     ) -> None:
-        """Carries a result back, unless a partition is between the two."""
+        """Delivers a result to the gateway, unless the node or the gateway is partitioned."""
         gateway = attempt.gateway
         if node.partitioned or gateway.partitioned:
             return
--- a/rushmux/lab/simulated_node.py
+++ b/rushmux/lab/simulated_node.py
@@ -1,4 +1,4 @@
-"""An emulated storage node of the scheduler simulation, over all its restarts."""
+"""An emulated storage node of the scheduler simulation; one object covers all its restarts."""
 
 import random
 from collections.abc import Callable
@@ -16,20 +16,20 @@
 if TYPE_CHECKING:
     from rushmux.lab.simulated_gateway import SimulatedGateway
 
-IDLE_TIMEOUT = 30.0  # seconds after which a node closes a connection that is not used
+IDLE_TIMEOUT = 30.0  # seconds after which a node closes an unused connection
 
 
 class SimulatedNode:
-    """Takes attempts from the network, gives them to an emulated machine, and replies.
+    """Receives attempts, runs them on an emulated machine, and replies.
 
     Attributes:
-        endpoint: Its entry of the endpoint list as last published.
-        silent: Whether it takes attempts and does not answer.
+        endpoint: Its last published entry of the endpoint list.
+        silent: Whether it accepts attempts without answering.
         partitioned: Whether no message gets through.
-        omits_usage: Whether its answers do not tell of the usage at other gateways.
-        error_rate: Part of the attempts that fail.
-        loss_rate: Part of the attempts that get lost.
-        connections: When each connected gateway, by number, last used its connection (seconds).
+        omits_usage: Whether its replies omit the usage through other gateways.
+        error_rate: Fraction of the attempts that fail.
+        loss_rate: Fraction of the attempts that are lost.
+        connections: Time of the last use (seconds) by each connected gateway's number.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self.start(cold=False)
 
     def start(self, cold: bool = True) -> None:
-        """Starts its process; `cold`: in slow start, as after a restart."""
+        """Starts its process, in slow start if `cold`, as after a restart."""
         context = self.context
         self.start_count += 1
         self.alive = True
@@ -82,7 +82,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """Ends its process: connections break, and the endpoint list will say so."""
+        """Kills its process: resets its connections and publishes its removal."""
         self.alive = False
         self.service_model.stop()
         self.context.recorder.record("killed", node=self.name)
@@ -90,14 +90,14 @@
         self.on_state_change(self, EndpointState.REMOVED)
 
     def reset_connections(self) -> None:
-        """Breaks all connections, with the attempts in flight on them."""
+        """Resets all connections; the attempts in flight on them are lost."""
         self.context.recorder.record("reset", node=self.name)
         in_flight, self.in_flight = self.in_flight, {}
         for attempt in in_flight:
             self.network.reply(self, attempt, AttemptResult.CONNECTION_LOST)
 
     def accepts_connection(self, gateway: "SimulatedGateway") -> bool:
-        """Whether a gateway has a connection, or gets one."""
+        """Whether a gateway has a connection or can open one; marks it as used."""
         if not self.alive or self.partitioned or gateway.partitioned:
             return False
         limit, now = self.context.fleet.max_connections, self.context.clock.time()
@@ -114,7 +114,7 @@
             del self.connections[number]
 
     def on_attempt(self, attempt: SimulatedAttempt) -> None:
-        """An attempt arrives."""
+        """Handles an attempt that arrives."""
         if not self.alive:
             self.network.reply(self, attempt, AttemptResult.CONNECTION_LOST)
             return
--- a/rushmux/lab/simulation_context.py
+++ b/rushmux/lab/simulation_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a scheduler simulation share: clock, chance, deployment and the records of the day."""
+"""The clock, random generator, deployment and records that the parts of a simulation share."""
 
 import random
 from dataclasses import dataclass, field
@@ -10,10 +10,10 @@
 
 
 class EventRecorder:
-    """Keeps the records of a day for `standins.checker`.
+    """Collects the records of a day for `standins.checker`.
 
     Attributes:
-        records: Kept rows; each has a `kind`, a time `at` in seconds, and the fields of its kind.
+        records: Rows with a `kind`, a time `at` in seconds, and the fields of the kind.
     """
 
     def __init__(self, clock: TimerLoop, enabled: bool):
@@ -21,7 +21,7 @@
         self.records: list[dict[str, Any]] = []
 
     def record(self, kind: str, **fields: Any) -> None:
-        """Keeps a row, unless records are off."""
+        """Adds a row if recording is enabled."""
         if self.enabled:
             fields["kind"], fields["at"] = kind, self.clock.now
             self.records.append(fields)
@@ -37,7 +37,7 @@
     recorder: EventRecorder
     clock: TimerLoop
     generator: random.Random = field(init=False)
-    """Draws delays, message loss, errors and the backoff of clients, in the order of events."""
+    """Draws delays, message loss, errors and client backoff, in the order of events."""
 
     def __post_init__(self):
         self.generator = random.Random(f"{self.seed}/ways")
--- a/rushmux/lab/system_simulation.py
+++ b/rushmux/lab/system_simulation.py
@@ -1,7 +1,7 @@
-"""A day of an experiment through real edges and stand-in nodes on the simulated clock.
+"""Simulates a day of an experiment with real edges and stand-in nodes on a simulated clock.
 
-Each operation is one access of an edge's driver; faults are those of the notation, carried out on
-processes, sockets and machines.  For smaller fleets than `scheduler_simulation`, and the same days.
+Each operation is one access through an edge's driver; faults act on processes, sockets and machines.
+Runs the same days as `scheduler_simulation`, for smaller fleets.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 from rushmux.standins import fleet as standin_fleets
 from rushmux.standins.fleet import VirtualFleet
 
-STANDIN_KINDS = {FaultKind.USAGE_REPORT_LOSS: "unmetered"}  # where the stand-ins' word is another
+STANDIN_KINDS = {FaultKind.USAGE_REPORT_LOSS: "unmetered"}  # where the stand-ins use another name
 STANDIN_FAULTS = (
     FaultKind.SILENT,
     FaultKind.SLOW,
@@ -35,13 +35,13 @@
     FaultKind.NOISY_NEIGHBOUR,
     FaultKind.USAGE_REPORT_LOSS,
 )
-ISLANDS_PER_SECOND = 1_000  # tells partitions that begin at different times apart
+GROUPS_PER_SECOND = 1_000  # tells the groups of partitions with different start times apart
 STANDIN_PREFIX = "node"  # of a stand-in node's name, before its cell
 MACHINE_FIELDS = ("cores", "unit", "room", "recent", "saved", "put_off", "crowd", "pause", "pause_every")
 
 
 class OperationLostError(LabError):
-    """An operation whose gateway is not there, or was killed with it.
+    """The operation's gateway was down, or was killed while it ran.
 
     Attributes:
         gateway: The gateway's number.
@@ -57,22 +57,22 @@
 
     outcome: ClientOutcome
     retry_after: float = 0.0
-    """Seconds; 0: the gateway gave no advice."""
+    """Seconds; 0 if the gateway gave none."""
 
 
 class SystemResult(NamedTuple):
-    """What a simulated day left."""
+    """The result of a simulated day."""
 
     completed: list[CompletedOperation]
     standins: VirtualFleet
-    """With its records."""
+    """The fleet, with its records."""
 
 
 class SystemSimulation:
-    """One day on a fleet of stand-ins that is up.
+    """One day on a running fleet of stand-ins.
 
     Attributes:
-        completed: How each operation ended.
+        completed: The outcome of each operation.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         self.start = self.loop.time()
 
     async def run(self) -> list[CompletedOperation]:
-        """Simulates the day; how each operation ended, as `scheduler_simulation` tells it."""
+        """Simulates the day and returns the outcome of each operation."""
         length = self.arrivals[-1].at if self.arrivals else 0.0
         self.fleet.record("day", begun=self.start, length=length)
         tasks = [asyncio.ensure_future(self._inject(event)) for event in self.events]
@@ -98,7 +98,7 @@
         return self.completed
 
     async def _run_client(self, number: int, arrival: Arrival) -> None:
-        """One client with its retries."""
+        """Sends one operation and its retries, as a client does."""
         request_class = self.fleet.deployment.settings.request_classes[arrival.request_class]
         give_up_at = client.gives_up_at(self.start + arrival.at, request_class)
         attempts = 0
@@ -141,7 +141,7 @@
             raise OperationLostError(gateway)
 
         def fill(execute: messages.Execute) -> None:
-            # Objects of no bytes: what counts here is the machine's time.
+            # Objects are empty: only the machine's time matters here.
             if arrival.is_write:
                 execute.write.CopyFrom(messages.WriteObject(object=f"o{number}", data=b"", crc=0))
             else:
@@ -158,7 +158,7 @@
         task.result()
 
     async def _inject(self, event: FaultEvent) -> None:
-        """Carries out a fault when its time has come."""
+        """Waits for the time of a fault and carries it out."""
         await asyncio.sleep(event.at)
         if event.kind is FaultKind.PARTITION:
             self._partition(event)
@@ -177,14 +177,14 @@
             await self._drain_nodes(event)
 
     def _partition(self, event: FaultEvent) -> None:
-        """Cuts processes off: the nodes of a zone stay together, each gateway is alone."""
-        islands: dict[int, int] = {}
+        """Partitions processes: the targeted nodes form one group, each gateway has its own."""
+        groups: dict[int, int] = {}
         for target in event.targets:
             is_gateway = isinstance(target, int)
             process = self.fleet.edges[target].process if is_gateway else self._node(target).process
-            new_island = 1 + len(islands) + int(event.at * ISLANDS_PER_SECOND)
-            island = islands.setdefault(target if is_gateway else -1, new_island)
-            process.partition(island, event.duration)
+            new_group = 1 + len(groups) + int(event.at * GROUPS_PER_SECOND)
+            group = groups.setdefault(target if is_gateway else -1, new_group)
+            process.partition(group, event.duration)
 
     async def _inject_at_nodes(self, event: FaultEvent) -> None:
         kind = STANDIN_KINDS.get(event.kind, str(event.kind))
@@ -196,7 +196,7 @@
         return self.fleet.nodes[_standin_name(name)]
 
     def _running_nodes(self) -> set[str]:
-        """Names of the nodes, as faults name them, whose processes run."""
+        """Names, as in faults, of the nodes whose processes run."""
         return {_fault_target(name) for name, node in self.fleet.nodes.items() if not node.process.dead}
 
     async def _crash_gateways(self, event: FaultEvent) -> None:
@@ -217,7 +217,7 @@
             await self._start_node(name)
 
     async def _drain_nodes(self, event: FaultEvent) -> None:
-        """Drains nodes and has each replaced by one in slow start."""
+        """Drains nodes and replaces each by one in slow start."""
         grace = self.fleet.deployment.drain_grace + self.fleet.lag
         for target in event.targets:
             if target not in self._running_nodes():
@@ -233,28 +233,28 @@
 
 
 def _standin_name(name: str) -> str:
-    """The stand-in node's name for a node that faults name `n3`."""
+    """The stand-in's name of a node that faults call, say, `n3`."""
     return f"{STANDIN_PREFIX}{_cell(name)}"
 
 
 def _fault_target(standin_name: str) -> str:
-    """The name that faults give to a stand-in node."""
+    """The name of a stand-in node in faults."""
     return node_name(int(standin_name.removeprefix(STANDIN_PREFIX)))
 
 
 def _cell(name: str) -> int:
-    """The cell of a node that faults name `n3`."""
+    """The cell of a node that faults call, say, `n3`."""
     return int(name[1:])
 
 
 def simulate(day: Day, seed: int, make_scheduler: Callable = Scheduler, **settings: Any) -> SystemResult:
-    """Simulates a day through real edges.
+    """Simulates a day with real edges.
 
     Args:
-        day: What happens, and on which fleet.
+        day: The day, with its fleet.
         seed: The seed of the day.
         make_scheduler: Makes a gateway's scheduler.
-        **settings: Of the stand-ins, in place of those that follow from the day's fleet.
+        **settings: Settings of the stand-ins that override those derived from the day's fleet.
     """
 
     async def run_day(standins: VirtualFleet) -> list[CompletedOperation]:
--- a/rushmux/lab/timer_loop.py
+++ b/rushmux/lab/timer_loop.py
@@ -1,14 +1,14 @@
-"""A simulated clock with timers: the part of an event loop that emulated machines use."""
+"""A simulated clock with the timer methods of an event loop."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 from typing import Any
 
-START = 1.0  # seconds on a new clock
+START = 1.0  # seconds, time of a new clock
 
 
 class Timer:
-    """A call that is due at some time."""
+    """A scheduled call."""
 
     __slots__ = ("arguments", "callback")
 
@@ -17,14 +17,14 @@
         self.arguments = arguments
 
     def cancel(self) -> None:
-        """Makes the loop skip this call."""
+        """Cancels the call."""
         self.callback = None
 
 
 class TimerLoop:
-    """Offers the timer methods of `asyncio.AbstractEventLoop` on a simulated clock; `run` advances it.
+    """Timer methods of `asyncio.AbstractEventLoop` on a simulated clock, which `run` advances.
 
-    Calls that are due at the same time happen in the order in which they were asked for.
+    Calls due at the same time run in the order in which they were scheduled.
 
     Attributes:
         now: The simulated time, in seconds.
@@ -40,7 +40,7 @@
         return self.now
 
     def call_at(self, when: float, callback: Callable, *arguments: Any) -> Timer:
-        """Schedules a call at a time, or now where that time has passed."""
+        """Schedules a call at a time, or now if that time has passed."""
         timer = Timer(callback, arguments)
         self._scheduled += 1
         heappush(self._heap, (max(when, self.now), self._scheduled, timer))
@@ -51,17 +51,17 @@
         return self.call_at(self.now + delay, callback, *arguments)
 
     def call_soon(self, callback: Callable, *arguments: Any) -> Timer:
-        """Schedules a call now, after those that are already due."""
+        """Schedules a call now, after those already due."""
         return self.call_at(self.now, callback, *arguments)
 
     def run(self, until: float) -> None:
-        """Makes all calls that are due until a time, and advances the clock to it."""
+        """Runs all calls due until a time, and advances the clock to it."""
         while self.run_next(until):
             pass
         self.now = max(self.now, until)
 
     def run_next(self, until: float) -> bool:
-        """Makes the next call, where it is due until a time; False where none is."""
+        """Runs the next call if it is due until a time; returns False if none is."""
         if not self._heap or self._heap[0][0] > until:
             return False
         when, _, timer = heappop(self._heap)
--- a/rushmux/lab/trace.py
+++ b/rushmux/lab/trace.py
@@ -1,8 +1,8 @@
-"""Recorded arrivals: the file format of traces.
+"""Reads and writes traces, which are files of recorded arrivals.
 
-A trace is lines of JSON: a header {"format": 1, "volumes": {name: plan}} and then one object for each
-operation: at (s), volume, lane, key ("" for none), units, cell (-1: a new object), edge, left (part of
-the deadline).
+A trace is lines of JSON: a header {"format": 1, "volumes": {name: plan}}, then one object for each
+operation: at (s), volume, lane, key ("" for none), units, cell (-1: a new object), edge, left (fraction
+of the deadline).
 """
 
 import json
@@ -14,7 +14,7 @@
 from rushmux.lab.workload import MAX_OPERATIONS, Arrival, Volume
 
 FORMAT = 1
-FIELDS = {  # of an operation: each key and the field of `Arrival` that it holds
+FIELDS = {  # keys of an operation, with the fields of `Arrival` that they hold
     "at": "at",
     "volume": "volume",
     "lane": "request_class",
@@ -28,20 +28,20 @@
 
 
 class TraceError(LabError):
-    """A trace that cannot be used.
+    """A trace cannot be used.
 
     Attributes:
-        place: The file, with the line where one is at fault.
-        reason: What is wrong there.
+        location: The file, with the line if one is invalid.
+        reason: What is wrong.
     """
 
-    def __init__(self, place: str, reason: str):
-        super().__init__(f"{place}: {reason}")
-        self.place, self.reason = place, reason
+    def __init__(self, location: str, reason: str):
+        super().__init__(f"{location}: {reason}")
+        self.location, self.reason = location, reason
 
 
 class Trace(NamedTuple):
-    """What a file of a trace holds."""
+    """The content of a trace file."""
 
     plans: dict[str, str]
     """The plan of each volume."""
@@ -61,7 +61,7 @@
     """Reads a trace.
 
     Raises:
-        TraceError: A line is not in the format, or there are too many operations.
+        TraceError: A line is invalid, or there are too many operations.
         OSError: The file cannot be read.
     """
     with open(path) as file:
@@ -84,16 +84,18 @@
             raise TraceError(str(path), f"format {header['format']}, this reads {FORMAT}")
         return dict(header["volumes"])
     except (ValueError, KeyError, TypeError) as error:
-        raise TraceError(f"{path}, line 1", f"no header: {error}") from error
+        raise TraceError(f"{path}, line 1", f"not a valid header: {error}") from error
 
 
-def _read_arrival(place: str, line: str, plans: dict[str, str], last: float) -> Arrival:
+def _read_arrival(location: str, line: str, plans: dict[str, str], last: float) -> Arrival:
     try:
         arrival = _decode(json.loads(line))
         if arrival.volume not in plans or arrival.at < last or arrival.units <= 0:
-            raise ValueError("its volume is not in the header, it is out of order, or it has no units")
+            raise ValueError(
+                "its volume is not in the header, its time is out of order, or its units are not positive"
+            )
     except (ValueError, TypeError) as error:
-        raise TraceError(place, str(error)) from error
+        raise TraceError(location, str(error)) from error
     return arrival
 
 
@@ -104,7 +106,7 @@
 def _decode(row: dict[str, Any]) -> Arrival:
     unknown, missing = set(row) - set(FIELDS), REQUIRED - set(row)
     if unknown:
-        raise ValueError(f"there is no field {', '.join(sorted(unknown))}")
+        raise ValueError(f"unknown field {', '.join(sorted(unknown))}")
     if missing:
-        raise ValueError(f"it has no {', '.join(sorted(missing))}")
+        raise ValueError(f"missing field {', '.join(sorted(missing))}")
     return Arrival(**{FIELDS[key]: value for key, value in row.items()})
--- a/rushmux/lab/variants.py
+++ b/rushmux/lab/variants.py
@@ -1,4 +1,4 @@
-"""The decision logic of an experiment's variant: the tree's, a revision's, or a changed one."""
+"""The scheduler of an experiment's variant: from this tree or a revision, optionally with texts replaced."""
 
 import hashlib
 import importlib.abc
@@ -17,14 +17,14 @@
 
 ROOT = Path(scheduling.__file__).resolve().parents[2]
 PACKAGE, FOLDER = "rushmux.scheduling", "rushmux/scheduling"
-SHARED = ("__init__", "interface", "driver")  # modules of the package that all variants have in common
+SHARED_MODULES = ("__init__", "interface", "driver")  # modules of the package that all variants share
 
 
 class SourceError(LabError):
-    """A revision or a change of the decision logic that is not there; the text says which.
+    """A revision, or a text that a variant replaces, was not found; the message says which.
 
     Attributes:
-        name: The revision, or the variant whose change it is.
+        name: The revision, or the name of the variant.
     """
 
     def __init__(self, name: str, text: str):
@@ -33,17 +33,17 @@
 
 
 class SchedulerSource(NamedTuple):
-    """The texts of a scheduler by path."""
+    """The source texts of a scheduler by path."""
 
     texts: tuple[tuple[str, str], ...]
 
     def digest(self) -> str:
-        """A digest that tells two sources apart."""
-        whole = "\0".join(part for row in self.texts for part in row)
-        return hashlib.blake2b(whole.encode(), digest_size=8).hexdigest()
+        """A digest of the texts."""
+        joined = "\0".join(field for row in self.texts for field in row)
+        return hashlib.blake2b(joined.encode(), digest_size=8).hexdigest()
 
     def load(self) -> Callable:
-        """What makes a scheduler of these texts, called as `scheduler.Scheduler` is."""
+        """Loads the scheduler; returns a callable with the signature of `scheduler.Scheduler`."""
         texts = dict(self.texts)
         if legacy_scheduler.LEGACY_RULES in texts:
             interface = texts[legacy_scheduler.LEGACY_INTERFACE]
@@ -75,7 +75,7 @@
         text = self.texts[stem]
         for other in self.texts:
             text = text.replace(f"from {PACKAGE}.{other} import", f"from {self.package}.{other} import")
-        # A text of this repository, perhaps with the change that an experiment states.
+        # The text comes from this repository, with any replacement that an experiment states.
         exec(compile(text, f"{FOLDER}/{stem}.py", "exec"), module.__dict__)
 
 
@@ -93,46 +93,46 @@
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-def _of_revision(revision: str) -> dict[str, str]:
+def _read_revision(revision: str) -> dict[str, str]:
     listed = _git("ls-tree", "--name-only", revision, f"{FOLDER}/", legacy_scheduler.LEGACY_RULES)
     if listed.returncode:
         raise SourceError(revision, f"revision {revision}: {listed.stderr.strip()}")
-    paths = [path for path in listed.stdout.split() if _is_own(path)]
+    paths = [path for path in listed.stdout.split() if _is_variant_module(path)]
     if legacy_scheduler.LEGACY_RULES in paths:
         paths = [legacy_scheduler.LEGACY_INTERFACE, legacy_scheduler.LEGACY_RULES]
     if not paths:
-        raise SourceError(revision, f"revision {revision} has no decision logic")
+        raise SourceError(revision, f"revision {revision} has no scheduler")
     return {path: _git("show", f"{revision}:{path}").stdout for path in paths}
 
 
-def _is_own(path: str) -> bool:
-    return path.endswith(".py") and Path(path).stem not in SHARED
+def _is_variant_module(path: str) -> bool:
+    return path.endswith(".py") and Path(path).stem not in SHARED_MODULES
 
 
 def load_source(variant: Variant) -> SchedulerSource:
     """The source of the scheduler of a variant.
 
     Raises:
-        SourceError: It is not there.
+        SourceError: The revision or a text to replace was not found.
     """
     if "revision" in variant:
-        texts = _of_revision(variant["revision"])
+        texts = _read_revision(variant["revision"])
     else:
-        paths = sorted(path for path in (ROOT / FOLDER).iterdir() if _is_own(path.name))
+        paths = sorted(path for path in (ROOT / FOLDER).iterdir() if _is_variant_module(path.name))
         texts = {f"{FOLDER}/{path.name}": path.read_text(encoding="utf-8") for path in paths}
     for old, new in variant.get("without", ()):
         count = sum(text.count(old) for text in texts.values())
         if count != 1:
             raise SourceError(
                 variant["name"],
-                f"variant {variant['name']}: '{old[:60]}' stands {count} times in the decision logic",
+                f"variant {variant['name']}: '{old[:60]}' occurs {count} times in the scheduler, not once",
             )
         texts = {path: text.replace(old, new) for path, text in texts.items()}
     return SchedulerSource(tuple(texts.items()))
 
 
-def scheduler_type(variant: Variant, found: SchedulerSource) -> Callable:
-    """What makes a gateway's scheduler in a variant."""
+def scheduler_type(variant: Variant, scheduler_source: SchedulerSource) -> Callable:
+    """The callable that creates a gateway's scheduler in a variant."""
     if variant.get("decisions", "module") != "module":
         return BASELINES[variant["decisions"]]
-    return found.load()
+    return scheduler_source.load()
--- a/rushmux/lab/workload.py
+++ b/rushmux/lab/workload.py
@@ -1,4 +1,4 @@
-"""The arrivals of a day as an open loop: all are drawn before any is answered."""
+"""Draws the arrivals of a day as an open loop: no arrival depends on an answer."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, NamedTuple
@@ -9,19 +9,19 @@
 from rushmux.lab.errors import LabError
 from rushmux.lab.faults import FaultEvent, FaultKind
 
-MAX_OPERATIONS = 5_000_000  # of a day
-STEP = 0.25  # seconds within which a rate stays the same
-NEW_OBJECT = -1  # the cell of an operation that makes one
-MAX_CELLS, MAX_GATEWAYS = 6, 4  # of a volume: one to as many are drawn, evenly
-GATEWAY_SKEW = 0.6  # mean of the exponential draw of a gateway's place among a volume's
+MAX_OPERATIONS = 5_000_000  # in a day
+STEP = 0.25  # seconds for which a rate is constant
+NEW_OBJECT = -1  # cell of an operation that creates an object
+MAX_CELLS, MAX_GATEWAYS = 6, 4  # of a volume; the number is uniform from one up
+GATEWAY_SKEW = 0.6  # mean of the exponential draw of an index into a volume's gateways
 MAX_BATCH = 8  # operations that a client sends in a row
 BATCH_SPACING = 0.004  # seconds between them
-MIN_ZIPF = 1.01  # exponent where a workload states one that has no distribution
-ZIPF_MARGIN = 1e-9  # the distribution is defined above one only
-VOLUME_STREAM, ARRIVAL_STREAM = 1, 2  # of the random streams of a seed
+MIN_ZIPF = 1.01  # replaces an exponent of one or less, for which there is no distribution
+ZIPF_MARGIN = 1e-9  # keeps exponents above one
+VOLUME_STREAM, ARRIVAL_STREAM = 1, 2  # random streams of a seed
 
 WorkloadSettings = Mapping[str, Any]
-"""What an experiment's `workload` states, completed from `DEFAULTS`."""
+"""An experiment's `workload`, completed from `DEFAULTS`."""
 
 DEFAULTS: WorkloadSettings = {
     "load": 0.6,
@@ -39,46 +39,46 @@
 
 
 class WorkloadError(LabError):
-    """A day with more operations than can be simulated.
+    """A day has too many operations.
 
     Attributes:
-        limit: The most that a day may have.
+        limit: The maximum for a day.
     """
 
     def __init__(self, limit: int):
-        super().__init__(f"more than {limit} operations in the day")
+        super().__init__(f"the day has more than {limit} operations")
         self.limit = limit
 
 
 class Arrival(NamedTuple):
-    """One operation as its client means to send it."""
+    """One operation that a client means to send."""
 
     at: float
-    """Seconds from the begin of the day."""
+    """Seconds from the start of the day."""
     volume: str
     request_class: str
     key: str
     """"" where it has none."""
     units: float
     cell: int
-    """Negative: any, for a new object."""
+    """Negative: any cell, for a new object."""
     gateway: int
     deadline_fraction: float = 1.0
-    """Part of its class's deadline that the client waits."""
+    """Fraction of its class's deadline that the client waits."""
 
     @property
     def is_write(self) -> bool:
-        """Whether it makes a new object."""
+        """Whether it creates an object."""
         return self.cell < 0
 
 
 class Volume(NamedTuple):
-    """A volume and what it asks for."""
+    """A volume and its demand."""
 
     name: str
     plan: str
     rate: float
-    """Mean units a second."""
+    """Mean units per second."""
     cells: tuple[int, ...]
     gateways: tuple[int, ...]
 
@@ -103,11 +103,11 @@
     """Draws the volumes of a day.
 
     Args:
-        nominal_rates: Units a second of a volume, by plan.
-        counts: Volumes of each plan.
-        cell_count: Cells of the fleet.
-        gateway_count: Gateways of the fleet.
-        capacity: Units a second of the fleet; together the volumes ask for `load` of it.
+        nominal_rates: Units per second of a volume, by plan.
+        counts: Number of volumes of each plan.
+        cell_count: Number of cells of the fleet.
+        gateway_count: Number of gateways of the fleet.
+        capacity: Units per second of the fleet; the volumes demand the fraction `load` of it.
         settings: The workload.
         seed: The seed of the day.
     """
@@ -125,51 +125,53 @@
                     plan,
                     nominal_rates[plan] * factor,
                     tuple(int(cell) for cell in generator.choice(cell_count, cells, replace=False)),
-                    tuple(int(place) for place in generator.choice(gateway_count, gateways, replace=False)),
+                    tuple(
+                        int(gateway) for gateway in generator.choice(gateway_count, gateways, replace=False)
+                    ),
                 )
             )
     total = sum(volume.rate for volume in volumes)
     return [volume._replace(rate=volume.rate * settings["load"] * capacity / total) for volume in volumes]
 
 
-def rush(settings: WorkloadSettings, at: numpy.ndarray) -> numpy.ndarray:
-    """The rate at some times (seconds) as a multiple of the mean: a slow sine, the same for all volumes."""
+def relative_rate(settings: WorkloadSettings, at: numpy.ndarray) -> numpy.ndarray:
+    """The rate at times (seconds), relative to its mean: one slow sine wave for all volumes."""
     return 1 + settings["rush"] * numpy.sin(2 * numpy.pi * at / settings["rush_period"])
 
 
 class _Steps(NamedTuple):
-    """What a volume asks for in each step of a day."""
+    """A volume's demand in each step of a day."""
 
-    begins: numpy.ndarray
-    """Seconds from the begin of the day."""
+    starts: numpy.ndarray
+    """Seconds from the start of the day."""
     rates: numpy.ndarray
-    """Units a second."""
+    """Units per second."""
     sizes: numpy.ndarray
-    """Factors of the operations' sizes."""
-    hot_parts: numpy.ndarray
-    """Parts of the accesses that go to one key."""
+    """Factors applied to the operations' sizes."""
+    hot_fractions: numpy.ndarray
+    """Fractions of the accesses that go to one key."""
     deadline_fractions: numpy.ndarray
 
 
 def _volume_steps(
     volume: Volume, settings: WorkloadSettings, seconds: float, events: Iterable[FaultEvent]
 ) -> _Steps:
-    begins = numpy.arange(0.0, seconds, STEP)
-    rates, sizes = volume.rate * rush(settings, begins), numpy.ones(len(begins))
-    hot_parts, deadline_fractions = numpy.zeros(len(begins)), numpy.ones(len(begins))
+    starts = numpy.arange(0.0, seconds, STEP)
+    rates, sizes = volume.rate * relative_rate(settings, starts), numpy.ones(len(starts))
+    hot_fractions, deadline_fractions = numpy.zeros(len(starts)), numpy.ones(len(starts))
     for event in events:
         if volume.name not in event.targets:
             continue
-        within = (begins >= event.at) & (begins < event.at + event.duration)
+        within = (starts >= event.at) & (starts < event.at + event.duration)
         if event.kind is FaultKind.LOAD_SURGE:
             rates = numpy.where(within, rates * event.size, rates)
         elif event.kind is FaultKind.LARGE_OPERATIONS:
             sizes = numpy.where(within, event.size, sizes)
         elif event.kind is FaultKind.HOT_KEY:
-            hot_parts = numpy.where(within, event.size, hot_parts)
+            hot_fractions = numpy.where(within, event.size, hot_fractions)
         elif event.kind is FaultKind.SHORT_DEADLINE:
             deadline_fractions = numpy.where(within, event.size, deadline_fractions)
-    return _Steps(begins, rates, sizes, hot_parts, deadline_fractions)
+    return _Steps(starts, rates, sizes, hot_fractions, deadline_fractions)
 
 
 class _ArrivalSource:
@@ -187,24 +189,24 @@
         self.request_classes, self.max_units = request_classes, max_units
 
     def batches(self, steps: _Steps) -> numpy.ndarray:
-        """Batches in each step: programs send some in a row, batches come as a Poisson process."""
+        """The number of batches in each step, by a Poisson process; clients send operations in batches."""
         mean_batch_units = self.settings["mean_units"] * self.settings["batch"]
         return self.generator.poisson(steps.rates * STEP / mean_batch_units)
 
     def arrivals(self, steps: _Steps, batches: numpy.ndarray) -> Iterable[Arrival]:
         """The arrivals of all batches."""
         for step in numpy.nonzero(batches)[0]:
-            for at in steps.begins[step] + self.generator.random(int(batches[step])) * STEP:
+            for at in steps.starts[step] + self.generator.random(int(batches[step])) * STEP:
                 yield from self._batch(steps, step, at)
 
     def _batch(self, steps: _Steps, step: int, at: float) -> Iterable[Arrival]:
-        """One batch, of a geometric size, for one key and through one gateway."""
+        """One batch of geometric size, with one key and one gateway."""
         generator, volume = self.generator, self.volume
         count = int(stats.geom.ppf(generator.random(), 1 / self.settings["batch"]))
         is_write = generator.random() < self.settings["write_part"]
-        rank = self._key_rank(steps.hot_parts[step])
+        rank = self._key_rank(steps.hot_fractions[step])
         cell = volume.cells[rank % len(volume.cells)]
-        place = min(len(volume.gateways) - 1, int(generator.exponential(GATEWAY_SKEW)))
+        index = min(len(volume.gateways) - 1, int(generator.exponential(GATEWAY_SKEW)))
         for number in range(min(count, MAX_BATCH)):
             yield Arrival(
                 float(at + number * BATCH_SPACING),
@@ -213,13 +215,13 @@
                 "" if is_write else f"{volume.name}/{rank}",
                 self._units(steps.sizes[step]),
                 NEW_OBJECT if is_write else cell,
-                volume.gateways[place],
+                volume.gateways[index],
                 float(steps.deadline_fractions[step]),
             )
 
-    def _key_rank(self, hot_part: float) -> int:
-        """The rank of a batch's key by its popularity, by Zipf's law."""
-        if self.generator.random() < hot_part:
+    def _key_rank(self, hot_fraction: float) -> int:
+        """The popularity rank of a batch's key, by Zipf's law."""
+        if self.generator.random() < hot_fraction:
             return 1
         exponent = self.settings["zipf"]
         exponent = exponent + ZIPF_MARGIN if exponent > 1 else MIN_ZIPF
@@ -241,23 +243,23 @@
     request_classes: RequestClasses,
     max_units: float,
 ) -> list[Arrival]:
-    """Draws all arrivals of a day in the order of time.
+    """Draws all arrivals of a day, ordered by time.
 
     Args:
         volumes: The volumes of the day.
         settings: The workload.
         seconds: Length of the day.
         seed: The seed of the day.
-        events: Faults of the day, some of which change the workload.
-        request_classes: Of reads and writes.
-        max_units: The largest operation.
+        events: Faults of the day; some kinds change the workload.
+        request_classes: The request classes of reads and writes.
+        max_units: Units of the largest operation.
 
     Raises:
-        WorkloadError: The day would have more than `MAX_OPERATIONS`.
+        WorkloadError: The day would have more than `MAX_OPERATIONS` operations.
     """
     arrivals: list[Arrival] = []
-    for place, volume in enumerate(volumes):
-        generator = numpy.random.default_rng([seed, ARRIVAL_STREAM, place])
+    for index, volume in enumerate(volumes):
+        generator = numpy.random.default_rng([seed, ARRIVAL_STREAM, index])
         source = _ArrivalSource(volume, settings, generator, request_classes, max_units)
         steps = _volume_steps(volume, settings, seconds, events)
         batches = source.batches(steps)
--- a/tests/lab/test_measurements.py
+++ b/tests/lab/test_measurements.py
@@ -1,4 +1,4 @@
-"""Measures of a day and their histograms."""
+"""Measures of a day and the histograms behind them."""
 
 import pytest
 
--- a/tests/lab/test_optimal_bound.py
+++ b/tests/lab/test_optimal_bound.py
@@ -1,4 +1,4 @@
-"""The upper bound on what can be served in time."""
+"""The upper bound on the fraction of operations served in time."""
 
 from rushmux.lab import variants
 from rushmux.lab.day import draw_day
@@ -20,7 +20,7 @@
             assert result["in_time"] <= bound + 1e-9
 
 
-def test_the_bound_is_low_where_the_load_is_too_high(make_experiment):
+def test_the_bound_is_low_under_overload(make_experiment):
     machine = {"recent": 0, "saved": 0, "put_off": 0}
     light, heavy = (
         make_experiment(workload={"load": load, "rush": 0}, machine=machine) for load in (0.2, 4.0)
--- a/tests/lab/test_result_store.py
+++ b/tests/lab/test_result_store.py
@@ -1,4 +1,4 @@
-"""The store of results: files of another format and damaged rows."""
+"""The result store: files of another format, and damaged rows."""
 
 import sqlite3
 
@@ -12,7 +12,7 @@
     return CliRunner().invoke(main, ["lab", "run", "small", "--data", str(folder)])
 
 
-def test_results_of_another_version_are_refused(tmp_path):
+def test_a_store_of_another_format_is_rejected(tmp_path):
     ResultStore(tmp_path / "results.sqlite").close()
     connection = sqlite3.connect(tmp_path / "results.sqlite")
     with connection:
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -1,4 +1,4 @@
-"""Running experiments: the same on one core or many, resumed after a kill, and with crashes told."""
+"""Running experiments: independent of the number of cores, resumed after a kill, crashes reported."""
 
 import json
 import signal
@@ -21,7 +21,7 @@
 
 
 def without_sketches(results):
-    """Results without the encoded histograms, which hold the time of their making."""
+    """Results without the encoded histograms, which contain their creation time."""
     return {
         name: {
             seed: {key: value for key, value in day.items() if key != "sketches"}
@@ -31,7 +31,7 @@
     }
 
 
-def test_one_core_or_four_give_the_same_result(make_experiment, make_store):
+def test_one_core_and_four_give_the_same_result(make_experiment, make_store):
     experiment = make_experiment(
         ["silent node at 1 for 1"], [{"name": "module"}, {"name": "fair", "decisions": "fair-share"}]
     )
@@ -40,7 +40,7 @@
     assert without_sketches(one) == without_sketches(four) and list(one["module"]) == [1, 2]
 
 
-def test_a_variant_that_crashes_is_told_and_the_others_count(make_experiment, make_store, tmp_path):
+def test_a_crashed_variant_is_reported_and_the_others_count(make_experiment, make_store, tmp_path):
     experiment = make_experiment((), [{"name": "module"}, CRASHES])
     results = run.run(experiment, make_store(), 2)
     lines = "\n".join(run.summarize(experiment, results))
@@ -117,15 +117,15 @@
     assert all("crashed" not in day for day in results["head"].values())
 
 
-def test_the_small_experiment_that_comes_along_keeps_the_rules(tmp_path):
+def test_the_bundled_small_experiment_keeps_the_rules(tmp_path):
     result = CliRunner().invoke(main, ["lab", "run", "small", "--data", str(tmp_path), "--jobs", "4"])
     assert result.exit_code == 0 and "rules kept" in result.output and "in_time" in result.output
     assert (tmp_path / "small" / "report.html").read_text().count("<img") == 6
 
 
-def test_a_changed_text_that_is_not_there_is_refused():
+def test_a_text_or_revision_that_does_not_exist_is_rejected():
     with pytest.raises(variants.SourceError) as error:
         variants.load_source({"name": "x", "without": [["no such text", ""]]})
-    assert "stands 0 times" in str(error.value)
+    assert "occurs 0 times" in str(error.value)
     with pytest.raises(variants.SourceError):
         variants.load_source({"name": "x", "revision": "no-such-revision"})
--- a/tests/lab/test_saved_days.py
+++ b/tests/lab/test_saved_days.py
@@ -1,4 +1,4 @@
-"""Days that a search saved: the scheduler serves no less on them than when they were saved."""
+"""Saved days: the scheduler serves at least as much on them as when they were saved."""
 
 from pathlib import Path
 
--- a/tests/lab/test_scheduler_simulation.py
+++ b/tests/lab/test_scheduler_simulation.py
@@ -1,4 +1,4 @@
-"""Scheduler simulations: the same seed gives the same day, and each fault does what it says."""
+"""Scheduler simulations are repeatable, and each kind of fault has its effect."""
 
 import random
 
@@ -15,7 +15,7 @@
     return day["in_time"] < calm["in_time"] - 0.02
 
 
-# What each kind of fault must change against a calm day.
+# The effect of each kind of fault, compared with a day without faults.
 EFFECTS = {
     "silent nodes 2 at 0.5 for 3": less_in_time,
     "slow nodes 3 size 20 at 0.5 for 3": less_in_time,
@@ -62,7 +62,7 @@
     assert one.completed != three.completed
 
 
-def test_connections_of_a_node_are_bounded(make_experiment, run_simulation):
+def test_connections_of_a_node_are_limited(make_experiment, run_simulation):
     experiment = make_experiment()
     experiment["fleet"]["connections"] = 2
     simulation = run_simulation(experiment)
@@ -71,14 +71,14 @@
 
 
 @pytest.mark.parametrize("name", BASELINES)
-def test_baselines_serve_and_keep_the_bound_of_ten(name, make_experiment, run_simulation):
+def test_baselines_serve_with_at_most_ten_attempts_in_flight(name, make_experiment, run_simulation):
     simulation = run_simulation(make_experiment(), make_scheduler=BASELINES[name])
     succeeded = sum(row.outcome is ClientOutcome.SUCCEEDED for row in simulation.completed)
     assert succeeded > 0.5 * len(simulation.completed)
     assert all(max(gateway.scheduler.in_flight.values(), default=0) <= 10 for gateway in simulation.gateways)
 
 
-def test_crowding_makes_machines_slower():
+def test_queued_work_makes_machines_slower():
     def total(crowd):
         clock, ends = TimerLoop(), []
         model = ServiceModel(
--- a/tests/lab/test_search.py
+++ b/tests/lab/test_search.py
@@ -1,4 +1,4 @@
-"""The search for the worst day: repeatable, shrunk, saved and simulated again."""
+"""The search for the worst day is repeatable, and its result is shrunk, saved and replayed."""
 
 import json
 
@@ -8,7 +8,7 @@
 from rushmux.lab.search import Candidate
 
 
-def test_the_search_finds_the_same_day_again_and_shrinks_it(make_experiment, tmp_path):
+def test_the_search_is_repeatable_and_its_day_is_shrunk_and_replayed(make_experiment, tmp_path):
     experiment = make_experiment(
         ["silent nodes 3 at 0.5..2 for 1..3", "reports node at 1 for 1", "slow node size 2..9 at 1 for 2"]
     )
--- a/tests/lab/test_system_simulation.py
+++ b/tests/lab/test_system_simulation.py
@@ -1,4 +1,4 @@
-"""Days through real edges with several faults at once, judged by the checker."""
+"""Days with real edges and several faults at once, verified by the checker."""
 
 import pytest
 
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("name", COMBINED_FAULTS)
-def test_combined_faults_through_real_edges_keep_the_rules(name, make_experiment):
+def test_combined_faults_with_real_edges_keep_the_rules(name, make_experiment):
     experiment = make_experiment(COMBINED_FAULTS[name])
     day = draw_day(experiment, experiment["variants"][0], 2)
     completed, standins = simulate(day, 2)
--- a/tests/lab/test_workload.py
+++ b/tests/lab/test_workload.py
@@ -1,4 +1,4 @@
-"""Drawn workloads, and traces of them."""
+"""Drawn workloads and their traces."""
 
 import json
 
@@ -35,18 +35,18 @@
         (
             '{"format": 1, "volumes": {"x": "p"}}\n'
             '{"at":1,"volume":"x","lane":"l","key":"","units":1,"cell":0,"gateway":0}\n',
-            "there is no field gateway",
+            "unknown field gateway",
         ),
     ],
 )
-def test_an_invalid_trace_is_named_in_the_error(tmp_path, text, words):
+def test_an_invalid_trace_is_rejected_with_its_reason(tmp_path, text, words):
     (tmp_path / "t").write_text(text)
     with pytest.raises(trace.TraceError) as error:
         trace.read(tmp_path / "t")
     assert words in str(error.value)
 
 
-def test_volumes_ask_for_the_stated_load(make_experiment):
+def test_volumes_demand_the_configured_load(make_experiment):
     experiment = make_experiment(seconds=40, workload={"load": 0.5, "rush": 0})
     asked = [
         sum(arrival.units for arrival in draw_day(experiment, experiment["variants"][0], seed).arrivals)
