--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -80,7 +80,7 @@
 
         await asyncio.gather(*(arrivals(edge) for edge in fleet.edges.values()))
 
-    fleet, _ = fleets.play(built, seed, scenario, nodes=6, edges=3, level="error")
+    fleet, _ = fleets.run_fleet(built, seed, scenario, nodes=6, edges=3, level="error")
     return times, outcomes, fleet.all_records(), built
 
 
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -64,7 +64,7 @@
             outcomes["not stored"] += 1
 
     async def scenario(fleet):
-        rng, port = random.Random(seed), fleet.lists.port
+        rng, port = random.Random(seed), fleet.endpoint_source.port
         started_at, tasks = fleet.loop.time(), []
 
         async def use_folder(name):
@@ -83,14 +83,14 @@
             await asyncio.sleep(seconds * (CRASH_AT - PAUSE_AT))
             fleet.kill_planner()
             await asyncio.sleep(DOWNTIME)
-            await fleet.plan(NODES, port)
+            await fleet.start_single_planner(NODES, port)
 
         injected = [inject_faults()] if faults else []
         await asyncio.gather(*(use_folder(name) for name in built.folders), *injected)
         await asyncio.gather(*tasks)
 
     with tempfile.TemporaryDirectory() as directory:
-        fleet, _ = fleets.play(
+        fleet, _ = fleets.run_fleet(
             built,
             seed,
             scenario,
@@ -98,7 +98,7 @@
             edges=EDGES,
             planner=Path(directory) / "p",
             level="error",
-            logs=False,
+            buffer_logs=False,
             unit=0.004,
         )
     return outcomes, fleet.all_records(), built
--- a/rushmux/cli/demo.py
+++ b/rushmux/cli/demo.py
@@ -14,7 +14,7 @@
 from rushmux.standins import fleet as fleets
 from rushmux.standins import scenario as scenarios
 from rushmux.standins import script
-from rushmux.standins.passthrough import PassThrough
+from rushmux.standins.passthrough import PassThroughScheduler
 from rushmux.standins.processes import ProcessFleet, ProcessStartError
 from rushmux.standins.report import evaluate
 
@@ -24,7 +24,7 @@
 """Maximum delay of a message in the simulated network, in seconds."""
 MAX_REAL_DELAY = 0.25
 """The same between real processes on a busy machine."""
-SCHEDULER_TYPES = {"module": Scheduler, "passthrough": PassThrough}
+SCHEDULER_TYPES = {"module": Scheduler, "passthrough": PassThroughScheduler}
 
 
 class Demo(NamedTuple):
@@ -51,7 +51,7 @@
 
     Args:
         demo: The day and the fleet.
-        with_passthrough: Whether to play the day again with `PassThrough`.
+        with_passthrough: Whether to play the day again with `PassThroughScheduler`.
         data: Folder for data, logs and recordings; None: a temporary one.
     """
     scheduler_kept_rules = True
@@ -89,19 +89,19 @@
 
 def _record_simulated_day(demo: Demo, decisions: str, deployment: Deployment) -> Recording:
     """Plays the day in this process on a simulated clock."""
-    day_script, load = script.load(demo.day), scenarios.Load(part=demo.load)
+    day_script, load = script.load(demo.day), scenarios.Load(nominal_share=demo.load)
 
     async def scenario(fleet: fleets.VirtualFleet) -> None:
-        await scenarios.play(fleet, day_script, load, demo.seed)
+        await scenarios.run_day(fleet, day_script, load, demo.seed)
 
-    fleet, _ = fleets.play(
+    fleet, _ = fleets.run_fleet(
         deployment,
         demo.seed,
         scenario,
         nodes=demo.nodes,
         edges=demo.edges,
         unit=UNIT_TIME,
-        decisions=SCHEDULER_TYPES[decisions],
+        scheduler_type=SCHEDULER_TYPES[decisions],
     )
     return Recording(fleet.all_records(), deployment)
 
@@ -110,17 +110,17 @@
     demo: Demo, decisions: str, folder: Path, path: Path, deployment: Deployment
 ) -> Recording:
     """Plays the day on separate processes."""
-    day_script, load = script.load(demo.day), scenarios.Load(part=demo.load)
+    day_script, load = script.load(demo.day), scenarios.Load(nominal_share=demo.load)
 
     async def play() -> Sequence[dict]:
         fleet = ProcessFleet(
-            path, deployment, folder, demo.seed, records=True, decisions=decisions, unit=UNIT_TIME
+            path, deployment, folder, demo.seed, records=True, scheduler=decisions, unit=UNIT_TIME
         )
         try:
-            await fleet.up(demo.nodes, demo.edges)
-            await scenarios.play(fleet, day_script, load, demo.seed)
+            await fleet.start(demo.nodes, demo.edges)
+            await scenarios.run_day(fleet, day_script, load, demo.seed)
         finally:
-            await fleet.down()
+            await fleet.stop()
         return fleet.all_records()
 
     return Recording(asyncio.run(play()), deployment)
--- a/tests/lab/test_search.py
+++ b/tests/lab/test_search.py
@@ -1,4 +1,4 @@
-"""The search for the worst day: repeatable, shrunk, saved and simulated again."""
+"""The search for the worst day is repeatable, and its result is shrunk, saved and replayed."""
 
 import json
 
@@ -8,7 +8,7 @@
 from rushmux.lab.search import Candidate
 
 
-def test_the_search_finds_the_same_day_again_and_shrinks_it(make_experiment, tmp_path):
+def test_the_search_is_repeatable_and_its_day_is_shrunk_and_replayed(make_experiment, tmp_path):
     experiment = make_experiment(
         ["silent nodes 3 at 0.5..2 for 1..3", "reports node at 1 for 1", "slow node size 2..9 at 1 for 2"]
     )
@@ -16,7 +16,7 @@
     assert days[0] == days[1]
     variant = experiment["variants"][0]
     lines = ("silent nodes 3 at 0.5 for 3", "reports node at 1 for 1", "resets node at 0.2")
-    worst = search.simulate_day(experiment, variant, variants.source(variant), Candidate(3, lines))
+    worst = search.simulate_day(experiment, variant, variants.load_source(variant), Candidate(3, lines))
     shrunk = search.shrink(experiment, worst, 2)
     assert shrunk.lines == ("silent nodes 3 at 0.5 for 3",)
     path = tmp_path / "case.json"
