--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -1,9 +1,9 @@
-"""The lean level against the real edge end to end, and the scale curve of the lean level.
+"""Compares the scheduler simulation with real edges end to end, and measures how the simulation scales.
 
     python -m benchmarks.levels [--seeds N] [--scale]
 
-Shared cases: the same operations through the driver and links of real edges on the virtual clock with
-stand-in nodes, and through the lean level.
+Each case runs the same operations through real edges with stand-in nodes on a virtual clock, and through the
+scheduler simulation.
 """
 
 import argparse
@@ -35,8 +35,8 @@
 SIZES = ((10, 8), (50, 16), (100, 24), (300, 47))
 
 
-def stated(name, load, lines, *, edges=3, nodes=4, seconds=10.0):
-    """The experiment of a case."""
+def make_experiment(name, load, faults, *, edges=3, nodes=4, seconds=10.0):
+    """Returns the experiment of a case."""
     return check(
         {
             "name": name.replace(" ", "-"),
@@ -45,75 +45,79 @@
             "volumes": {"basico": edges, "estandar": edges, "prioritario": edges},
             "machine": {"recent": 0},
             "workload": {"load": load},
-            "troubles": lines,
+            "troubles": faults,
             "variants": [{"name": "module"}],
         }
     )
 
 
-def lean(raw, seed):
-    """Latencies and the part in time of a day, with the scheduler alone."""
+def run_simulation(raw, seed):
+    """Returns latencies, the fraction in time, and whether the rules were kept, for the scheduler alone."""
     day = draw_day(raw, raw["variants"][0], seed)
     simulation = SchedulerSimulation(day.deployment, day.fleet, seed)
     simulation.run(day.arrivals, day.events, raw["seconds"])
-    found = measure(simulation, raw["seconds"])
+    result = measure(simulation, raw["seconds"])
     return (
         [row.latency for row in simulation.completed if row.outcome is ClientOutcome.SUCCEEDED],
-        found["in_time"],
-        found["kept"],
+        result["in_time"],
+        result["kept"],
     )
 
 
-def real(raw, seed):
-    """The same day through real edges."""
+def run_real_edges(raw, seed):
+    """Returns the same for the same day through real edges."""
     day = draw_day(raw, raw["variants"][0], seed)
-    ended, standins = system_simulation.simulate(day, seed)
+    completed, standins = system_simulation.simulate(day, seed)
     request_classes = day.deployment.settings.request_classes
-    quoted = {name: row.latency_objective / 10_000 for name, row in request_classes.items()}
-    good = [row for row in ended if row.outcome is ClientOutcome.SUCCEEDED]
+    objectives = {name: row.latency_objective / 10_000 for name, row in request_classes.items()}
+    succeeded = [row for row in completed if row.outcome is ClientOutcome.SUCCEEDED]
     kept = not Checker(standins.all_records(), day.deployment, 0.005).breaches()
     return (
-        [row.latency for row in good],
-        sum(row.latency <= quoted[row.request_class] for row in good) / len(ended),
+        [row.latency for row in succeeded],
+        sum(row.latency <= objectives[row.request_class] for row in succeeded) / len(completed),
         kept,
     )
 
 
-def scale(edges, nodes):
-    """One day of a minute in a process of its own; its line."""
-    raw = stated(
+def measure_scale(edges, nodes):
+    """Simulates a day of one minute and returns its table row; main() runs each size in its own process."""
+    raw = make_experiment(
         "scale", 0.6, ["silent node at 10 for 6", "restart nodes 20% at 30 for 3"], edges, nodes, 60.0
     )
     raw["volumes"] = {"basico": edges, "estandar": edges // 2, "prioritario": edges // 4}
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     day = draw_day(raw, raw["variants"][0], 1)
-    drawn = time.perf_counter() - begun
+    draw_time = time.perf_counter() - started_at
     simulation = SchedulerSimulation(day.deployment, day.fleet, 1)
     simulation.run(day.arrivals, day.events, raw["seconds"])
-    played = time.perf_counter() - begun - drawn
-    found = measure(simulation, raw["seconds"])
-    whole_time = time.perf_counter() - begun
+    play_time = time.perf_counter() - started_at - draw_time
+    result = measure(simulation, raw["seconds"])
+    whole_time = time.perf_counter() - started_at
     return (
-        f"{edges:9}{nodes:7}{len(day.arrivals):12}{drawn:9.1f}{played:9.1f}{whole_time - played - drawn:9.1f}"
-        f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:10.0f}{found['in_time']:9.3f}  "
-        f"{'kept' if found['kept'] else 'BROKEN'}"
+        f"{edges:9}{nodes:7}{len(day.arrivals):12}{draw_time:9.1f}{play_time:9.1f}"
+        f"{whole_time - play_time - draw_time:9.1f}"
+        f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:10.0f}{result['in_time']:9.3f}  "
+        f"{'kept' if result['kept'] else 'BROKEN'}"
     )
 
 
 def main():
     """Runs the benchmark and prints its table."""
-    asked = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    asked.add_argument("--seeds", type=int, default=4)
-    asked.add_argument("--scale", action="store_true", help="the scale curve in place of the shared cases")
-    asked.add_argument("--one", nargs=2, type=int, help=argparse.SUPPRESS)
-    wanted = asked.parse_args()
-    if wanted.one:
-        print(scale(*wanted.one))
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--seeds", type=int, default=4)
+    parser.add_argument("--scale", action="store_true", help="measure the scale curve instead of the cases")
+    parser.add_argument("--one", nargs=2, type=int, help=argparse.SUPPRESS)
+    options = parser.parse_args()
+    if options.one:
+        print(measure_scale(*options.one))
         return
-    if wanted.scale:
-        heads = ("gateways", "nodes", "operations", "draw s", "play s", "judge s", "MB", "in time")
+    if options.scale:
+        headings = ("gateways", "nodes", "operations", "draw s", "play s", "judge s", "MB", "in time")
         widths = (9, 7, 12, 9, 9, 9, 10, 9)
-        print("".join(f"{head:>{width}}" for head, width in zip(heads, widths, strict=True)) + "  rules")
+        print(
+            "".join(f"{heading:>{width}}" for heading, width in zip(headings, widths, strict=True))
+            + "  rules"
+        )
         for edges, nodes in SIZES:
             print(
                 subprocess.run(
@@ -126,24 +130,29 @@
                 flush=True,
             )
         return
-    heads = ("level", "answers", "in time", "p50 ms", "p90", "p99", "KS", "chance")
+    headings = ("level", "answers", "in time", "p50 ms", "p90", "p99", "KS", "chance")
     print(
         f"{'case':14}"
-        + "".join(f"{head:>{width}}" for head, width in zip(heads, (7, 9, 9, 9, 9, 9, 8, 8), strict=True))
+        + "".join(
+            f"{heading:>{width}}" for heading, width in zip(headings, (7, 9, 9, 9, 9, 9, 8, 8), strict=True)
+        )
         + "  rules"
     )
-    for name, (load, lines) in CASES.items():
-        raw = stated(name, load, lines)
+    for name, (load, faults) in CASES.items():
+        raw = make_experiment(name, load, faults)
         rows = {}
-        for level, play in (("edge", real), ("lean", lean)):
-            rows[level] = [play(raw, seed) for seed in range(1, wanted.seeds + 1)]
-        times = {level: [took for found, _, _ in days for took in found] for level, days in rows.items()}
-        apart = max(1, len(times["edge"]) // 400)
-        test = stats.ks_2samp(times["edge"][::apart], times["lean"][::apart])
+        for level, play in (("edge", run_real_edges), ("lean", run_simulation)):
+            rows[level] = [play(raw, seed) for seed in range(1, options.seeds + 1)]
+        times = {
+            level: [latency for latencies, _, _ in days for latency in latencies]
+            for level, days in rows.items()
+        }
+        stride = max(1, len(times["edge"]) // 400)
+        test = stats.ks_2samp(times["edge"][::stride], times["lean"][::stride])
         for level, days in rows.items():
-            p50, p90, p99 = (1000 * numpy.quantile(times[level], part) for part in (0.5, 0.9, 0.99))
+            p50, p90, p99 = (1000 * numpy.quantile(times[level], fraction) for fraction in (0.5, 0.9, 0.99))
             test_text = f"{test.statistic:8.3f}{test.pvalue:8.3f}" if level == "lean" else f"{'':16}"
-            in_time = numpy.mean([part for _, part, _ in days])
+            in_time = numpy.mean([fraction for _, fraction, _ in days])
             print(
                 f"{name:14}{level:>7}{len(times[level]):9}{in_time:9.3f}{p50:9.1f}{p90:9.1f}{p99:9.1f}"
                 f"{test_text}  {'kept' if all(kept for _, _, kept in days) else 'BROKEN'}"
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,9 +1,9 @@
-"""The prover against the model, and its time on a file of many routes.
+"""Checks the route verifier against the model, and measures its time on a file with many routes.
 
     python -m benchmarks.routes [--draws N] [--schedules M] [--jobs J] [--seed S]
 
-Draws deployments near the prover's borders and plays each through schedules that the bounds allow;
-exit 1 where an accepted one, or one said to be guarded, broke a rule.
+Draws deployments near the verifier's limits and runs each through schedules that the bounds allow.  Exits
+with 1 if a deployment that was accepted, or reported as guarded, broke a rule.
 """
 
 import argparse
@@ -24,8 +24,8 @@
 ROUNDS = 5
 
 
-def large(lanes, plans):
-    """A deployment with a route for each of so many lanes and plans."""
+def make_deployment(lanes, plans):
+    """Returns a raw deployment with a route for each of many lanes and plans."""
     raw = copy.deepcopy(EXAMPLE)
     for number in range(lanes):
         raw["lanes"][f"l{number}"] = dict(raw["lanes"]["lectura"])
@@ -46,48 +46,48 @@
     return raw
 
 
-def timed(call, *values):
-    """Median seconds of a call."""
+def median_time(call, *values):
+    """Returns the median seconds of a call."""
     times = []
     for _ in range(ROUNDS):
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         call(*values)
-        times.append(time.perf_counter() - begun)
+        times.append(time.perf_counter() - started_at)
     return statistics.median(times)
 
 
 def main():
     """Runs the benchmark and prints its table."""
-    asked = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    asked.add_argument("--draws", type=int, default=400)
-    asked.add_argument("--schedules", type=int, default=60)
-    asked.add_argument("--jobs", type=int, default=4)
-    asked.add_argument("--seed", type=int, default=1)
-    wanted = asked.parse_args()
-    small, whole = deployments.build(large(5, 20)), large(25, 40)
-    built = deployments.build(whole)
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--draws", type=int, default=400)
+    parser.add_argument("--schedules", type=int, default=60)
+    parser.add_argument("--jobs", type=int, default=4)
+    parser.add_argument("--seed", type=int, default=1)
+    options = parser.parse_args()
+    small, raw = deployments.build(make_deployment(5, 20)), make_deployment(25, 40)
+    built = deployments.build(raw)
     print(
-        f"{len(whole['routes'])} routes, {len(built.routes)} lanes and plans: read and proved in "
-        f"{timed(deployments.build, whole):.3f} s, of which the proof "
-        f"{timed(verifier.verify, built.bounds, built.routes):.4f} s; for {len(small.routes)} lanes and "
-        f"plans the proof takes {timed(verifier.verify, small.bounds, small.routes):.4f} s"
+        f"{len(raw['routes'])} routes, {len(built.routes)} lanes and plans: read and proved in "
+        f"{median_time(deployments.build, raw):.3f} s, of which the proof "
+        f"{median_time(verifier.verify, built.bounds, built.routes):.4f} s; for {len(small.routes)} lanes "
+        f"and plans the proof takes {median_time(verifier.verify, small.bounds, small.routes):.4f} s"
     )
-    each = -(-wanted.draws // wanted.jobs)
-    with worker_pool(wanted.jobs) as pool:
+    draws_per_job = -(-options.draws // options.jobs)
+    with worker_pool(options.jobs) as pool:
         outcomes = list(
             pool.map(
                 check_verifier,
-                [each] * wanted.jobs,
-                [wanted.seed * 1_000 + job for job in range(wanted.jobs)],
-                [wanted.schedules] * wanted.jobs,
+                [draws_per_job] * options.jobs,
+                [options.seed * 1_000 + job for job in range(options.jobs)],
+                [options.schedules] * options.jobs,
             )
         )
-    counts, wrong = Counter(), []
+    counts, mismatches = Counter(), []
     for outcome in outcomes:
         counts += outcome.counts
-        wrong += outcome.mismatches
+        mismatches += outcome.mismatches
     print(
-        f"at most {wanted.schedules} schedules a story; "
+        f"at most {options.schedules} schedules a story; "
         + ", ".join(f"{name} {count}" for name, count in counts.items())
     )
     findings = sum(counts[name] for name in ("played", "guarded", "conservative"))
@@ -95,9 +95,9 @@
         f"findings {findings}: played {counts['played'] / findings:.2f}, guarded by the module "
         f"{counts['guarded'] / findings:.2f}, conservative {counts['conservative'] / findings:.2f}"
     )
-    for place, text in wrong:
+    for place, text in mismatches:
         print(f"WRONG draw {place}: {text}")
-    sys.exit(bool(wrong))
+    sys.exit(bool(mismatches))
 
 
 if __name__ == "__main__":
