--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,10 +1,10 @@
-r"""Reads KNOWN-RED.txt: tests that fail for a real fault not mended yet, one a line, the list short.
+r"""Reads KNOWN-RED.txt, the short list of tests that fail because of a known, unfixed fault.
 
-A line is `test id, cause, issue N`; behind the id may stand what shows the fault: `seed S` and a command in
-backquotes.  Prints pytest's options that leave just these out, and tells on standard error which they are.
-Exits 1 on too many or too long lines, a malformed one, one that stands twice, or an id that names no test.
+A line is `test id, cause, issue N`; after the id may come what shows the fault: `seed S` and a command in
+backquotes.  Prints pytest's options that deselect these tests, and lists them on standard error.  Exits with
+1 if the list or a line is too long, a line is malformed, a test is listed twice, or an id names no test.
 
-With --passing: runs each listed test and tells which of them pass, so that they can leave the list.
+With --passing: runs each listed test and reports which of them pass, so that they can be removed.
 """
 
 import re
@@ -14,9 +14,9 @@
 from typing import NamedTuple
 
 MAX_LINES, MAX_LINE = 10, 400
-"""Lines, and characters of one: the operators ask to keep the list short."""
+"""Lines, and characters of a line: operators ask for a short list."""
 TEST_TIMEOUT = 600
-"""Seconds for one listed test."""
+"""Seconds for one pytest run."""
 LINE = re.compile(
     r"(?P<test>tests/\S+\.py::\S+), (seed (?P<seed>[0-9]+), )?(`(?P<command>[^`]+)`, )?"
     r"(?P<cause>[^`]+), issue (?P<issue>[0-9]+)"
@@ -38,24 +38,24 @@
         return f"{self.test}{seed}{command}: {self.cause} (issue {self.issue})"
 
 
-def listed(text: str) -> list[KnownRed]:
-    """The tests of a list; ValueError."""
+def parse_list(text: str) -> list[KnownRed]:
+    """Parses a list of tests; raises ValueError if it is invalid."""
     lines = [line for line in text.splitlines() if line.strip()]
     if len(lines) > MAX_LINES:
-        raise ValueError(f"{len(lines)} lines where {MAX_LINES} may stand")
-    rows = [_parsed(line) for line in lines]
+        raise ValueError(f"{len(lines)} lines; at most {MAX_LINES} are allowed")
+    rows = [_parse_line(line) for line in lines]
     tests = [row.test for row in rows]
     if len(set(tests)) < len(tests):
-        raise ValueError("a test stands twice")
+        raise ValueError("a test is listed twice")
     return rows
 
 
-def _parsed(line: str) -> KnownRed:
+def _parse_line(line: str) -> KnownRed:
     match = LINE.fullmatch(line)
     if match is None:
-        raise ValueError(f"a line that is not `test id, cause, issue N`: {line[:MAX_LINE]!r}")
+        raise ValueError(f"malformed line, expected `test id, cause, issue N`: {line[:MAX_LINE]!r}")
     if len(line) > MAX_LINE:
-        raise ValueError(f"a line of {len(line)} characters where {MAX_LINE} may stand")
+        raise ValueError(f"a line of {len(line)} characters; at most {MAX_LINE} are allowed")
     return KnownRed(*(match.group(name) or "" for name in KnownRed._fields))
 
 
@@ -71,15 +71,15 @@
 
 
 def names_a_test(test: str, root: Path) -> bool:
-    """Whether pytest collects just this id, alone or as a parametrised one."""
-    done = _pytest(root, "--collect-only", test)
-    return done.returncode == 0 and any(
-        line == test or line.startswith(test + "[") for line in done.stdout.splitlines()
+    """Returns whether pytest collects a test of this id, or one with parameters."""
+    result = _pytest(root, "--collect-only", test)
+    return result.returncode == 0 and any(
+        line == test or line.startswith(test + "[") for line in result.stdout.splitlines()
     )
 
 
 def passes(test: str, root: Path) -> bool:
-    """Whether a listed test passes by now."""
+    """Returns whether a listed test passes."""
     try:
         return _pytest(root, test).returncode == 0
     except subprocess.TimeoutExpired:
@@ -87,14 +87,14 @@
 
 
 def main(root: Path, options: list[str]) -> int:
-    """Prints the options for the tests that are listed, or tells which pass; the exit code."""
+    """Prints the options for the listed tests, or which of them pass; returns the exit code."""
     try:
-        rows = listed((root / "KNOWN-RED.txt").read_text(encoding="utf-8"))
+        rows = parse_list((root / "KNOWN-RED.txt").read_text(encoding="utf-8"))
         for row in rows:
             if not names_a_test(row.test, root):
-                raise ValueError(f"no test is called {row.test!r}")
-    except (OSError, ValueError) as fault:
-        print(f"KNOWN-RED.txt: {fault}", file=sys.stderr)
+                raise ValueError(f"no such test: {row.test!r}")
+    except (OSError, ValueError) as error:
+        print(f"KNOWN-RED.txt: {error}", file=sys.stderr)
         return 1
     if "--passing" in options:
         for row in rows:
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -1,8 +1,8 @@
-"""The planner at 10, 100 and 300 edges: from a node's death or drain until the last edge knows, and its cost.
+"""Measures the planner at 10, 100 and 300 edges: delays until the last edge knows a change, and the cost.
 
     python -m benchmarks.planner [--seed N]
 
-On the virtual clock with the planner's own program, edges' list clients and nodes that report each second.
+Runs the real planner, and the edges' planner clients, on a virtual clock, with nodes that only report.
 """
 
 import argparse
@@ -27,12 +27,12 @@
 HOST = "127.0.0.1"
 NODES = 47
 START_TIME = 5.0  # seconds until everything is up
-DEATHS = 5
-QUIET = 20.0  # seconds of nothing but reports, for the cost of standing still
+DEATHS = 5  # also the number of drains
+IDLE_TIME = 20.0  # seconds of reports only, to measure the idle cost
 
 
-async def reports(name, cell, port, loop):
-    """A node that only reports."""
+async def send_reports(name, cell, port, loop):
+    """Reports to the planner as a node, and does nothing else."""
     _, writer = await asyncio.open_connection(HOST, port)
     writer.write(frame(messages.Message(hello=messages.Hello(version=VERSION, peer=name, start="1"))))
     while True:
@@ -50,26 +50,26 @@
         await asyncio.sleep(REPORT_INTERVAL)
 
 
-class Figures(NamedTuple):
-    """What a run measured; times in seconds."""
+class Results(NamedTuple):
+    """Results of a run; times in seconds."""
 
     removals: list[float]
     drains: list[float]
     releases: list[float]
     recovery: float
-    processor_part: float
+    cpu_fraction: float
     bytes_per_second: float
 
 
 class Trial:
-    """A planner, nodes that only report, and edges' list clients, on a virtual clock."""
+    """A planner, nodes that only report, and edges' planner clients, on a virtual clock."""
 
     def __init__(self, loop, edges, seed, folder):
         self.loop, self.edges, self.seed = loop, edges, seed
         self.store_path = Path(folder) / f"p{edges}"
         self.log = log.to_list([], "error")
         self.nodes, self.clients = {}, []
-        self.informed = {}  # node and state -> when each edge was told
+        self.informed = {}  # node and state -> when each edge learned of it
         self.bytes_sent = 0
 
     async def open(self):
@@ -79,13 +79,13 @@
         self.port = await self.process.spawn(self.planner.open(HOST, 0))
         for cell in range(NODES):
             process = self.loop.process(f"n{cell}")
-            process.spawn(reports(f"n{cell}", cell, self.port, self.loop))
+            process.spawn(send_reports(f"n{cell}", cell, self.port, self.loop))
             self.nodes[f"n{cell}"] = process
         self.clients = [self.loop.create_task(self.client(number).run()) for number in range(self.edges)]
         await asyncio.sleep(START_TIME)
 
     def client(self, number):
-        """The list client of an edge."""
+        """Returns an edge's planner client."""
         return PlannerClient(
             (HOST, self.port),
             messages.Hello(version=VERSION, peer=f"edge{number}", start="1"),
@@ -95,26 +95,26 @@
         )
 
     def on_listing(self, number, listing):
-        """Notes when an edge was told of each entry."""
+        """Records when an edge learned of each entry."""
         self.bytes_sent += listing.ByteSize()
         for entry in listing.entries:
             informed = self.informed.setdefault((entry.node, entry.condition), {})
             informed.setdefault(number, self.loop.time())
 
     async def all_informed(self, node, state, poll):
-        """Waits until every edge was told of a node's state; when the last was."""
+        """Waits until every edge knows a node's state, and returns when the last one learned of it."""
         while len(self.informed.get((node, state), ())) < self.edges:
             await asyncio.sleep(poll)
         return max(self.informed[node, state].values())
 
     async def idle_cost(self):
-        """Part of a core and bytes a second while nothing happens."""
-        self.bytes_sent, begun = 0, time.process_time()
-        await asyncio.sleep(QUIET)
-        return (time.process_time() - begun) / QUIET, self.bytes_sent / QUIET
+        """Returns the fraction of a core and the bytes per second used while nothing changes."""
+        self.bytes_sent, cpu_started_at = 0, time.process_time()
+        await asyncio.sleep(IDLE_TIME)
+        return (time.process_time() - cpu_started_at) / IDLE_TIME, self.bytes_sent / IDLE_TIME
 
     async def kill_nodes(self):
-        """Seconds from a node's death until the last edge knows."""
+        """Returns the seconds from each node's death until the last edge knows."""
         removals, rng = [], random.Random(self.seed)
         for name in rng.sample(sorted(self.nodes), DEATHS):
             await asyncio.sleep(rng.uniform(1, 3))
@@ -124,53 +124,53 @@
         return removals
 
     async def drain_nodes(self):
-        """Seconds from a drain until the last edge knows, and until the node is released."""
+        """Returns the seconds from each drain until the last edge knows, and until the node is released."""
         drains, releases = [], []
         for name in [name for name in sorted(self.nodes) if not self.nodes[name].dead][:DEATHS]:
-            asked_at = self.loop.time()
+            requested_at = self.loop.time()
             await admin_client.send_fleet_command((HOST, self.port), "drain", name)
-            drains.append(await self.all_informed(name, "draining", 0.01) - asked_at)
+            drains.append(await self.all_informed(name, "draining", 0.01) - requested_at)
             while self.planner.state.membership.members[name].state != "drained":
                 await asyncio.sleep(0.1)
-            releases.append(self.loop.time() - asked_at)
+            releases.append(self.loop.time() - requested_at)
         return drains, releases
 
     async def restart_planner(self):
-        """Seconds from a planner's start until the last edge has its list."""
+        """Returns the seconds from the planner's restart until the last edge has its list."""
         self.process.kill()
         self.informed.clear()
         await asyncio.sleep(2)
-        process, begun_at = self.loop.process("planner"), self.loop.time()
+        process, started_at = self.loop.process("planner"), self.loop.time()
         planner = Planner(NODES, MembershipStore(self.store_path), self.log)
         await process.spawn(planner.open(HOST, self.port))
         while len({number for informed in self.informed.values() for number in informed}) < self.edges:
             await asyncio.sleep(0.05)
-        return max(at for informed in self.informed.values() for at in informed.values()) - begun_at
+        return max(at for informed in self.informed.values() for at in informed.values()) - started_at
 
 
-def measured(edges, seed, folder):
-    """The figures of a fleet with so many edges."""
+def measure(edges, seed, folder):
+    """Runs a trial with `edges` edges and returns its results."""
 
     async def run_trial(loop):
         trial = Trial(loop, edges, seed, folder)
         await trial.open()
-        processor_part, bytes_per_second = await trial.idle_cost()
+        cpu_fraction, bytes_per_second = await trial.idle_cost()
         removals = await trial.kill_nodes()
         drains, releases = await trial.drain_nodes()
         recovery = await trial.restart_planner()
         for client in trial.clients:
             client.cancel()
-        return Figures(removals, drains, releases, recovery, processor_part, bytes_per_second)
+        return Results(removals, drains, releases, recovery, cpu_fraction, bytes_per_second)
 
     return run(run_trial, seed)
 
 
 def main():
     """Runs the benchmark and prints its table."""
-    asked = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    asked.add_argument("--seed", type=int, default=1)
-    seed = asked.parse_args().seed
-    heads = (
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--seed", type=int, default=1)
+    seed = parser.parse_args().seed
+    headings = (
         "edges",
         "death to last edge s",
         "worst",
@@ -180,24 +180,24 @@
         "CPU part at rest",
         "bytes/s at rest",
     )
-    print("".join(f"{head:>{max(9, len(head) + 2)}}" for head in heads))
+    print("".join(f"{heading:>{max(9, len(heading) + 2)}}" for heading in headings))
     for edges in (10, 100, 300):
         with tempfile.TemporaryDirectory() as folder:
-            figures = measured(edges, seed, folder)
+            results = measure(edges, seed, folder)
         values = (
             edges,
-            statistics.median(figures.removals),
-            max(figures.removals),
-            statistics.median(figures.drains),
-            statistics.median(figures.releases),
-            figures.recovery,
-            figures.processor_part,
-            figures.bytes_per_second,
+            statistics.median(results.removals),
+            max(results.removals),
+            statistics.median(results.drains),
+            statistics.median(results.releases),
+            results.recovery,
+            results.cpu_fraction,
+            results.bytes_per_second,
         )
         print(
             "".join(
-                f"{value:{max(9, len(head) + 2)}.{0 if head in ('edges', 'bytes/s at rest') else 3}f}"
-                for value, head in zip(values, heads, strict=True)
+                f"{value:{max(9, len(heading) + 2)}.{0 if heading in ('edges', 'bytes/s at rest') else 3}f}"
+                for value, heading in zip(values, headings, strict=True)
             )
         )
     print(
--- a/benchmarks/scheduler_equivalence.py
+++ b/benchmarks/scheduler_equivalence.py
@@ -1,9 +1,8 @@
 """Compares the scheduler with an older revision's, call by call, on the same streams of events.
 
-Every event goes to both, and what each does in answer has to be the same: names, values and order.  The
-streams are the scenarios of the tests, small fleets of the lab under drawn faults, and drawn schedules of
-`lab.model_check` over deployments of its own.  Prints how many events and actions were compared; exits 1 at
-the first difference.
+Both get every event, and their actions must agree in names, values and order.  The streams are the scenarios
+of the tests, small fleets of the lab with random faults, and random schedules of `lab.model_check`.  Prints
+the number of events and actions compared; exits with 1 at the first difference.
 """
 
 import argparse
@@ -60,11 +59,11 @@
 
 
 class DifferenceError(Exception):
-    """The two schedulers did not do the same."""
+    """The two schedulers acted differently."""
 
 
 class RecordedActions:
-    """Keeps what a scheduler does."""
+    """Records a scheduler's actions."""
 
     def __init__(self):
         self.calls = []
@@ -76,19 +75,19 @@
 
 
 class Comparison:
-    """Makes schedulers that are two, and counts what was compared."""
+    """Creates compared schedulers, and counts events and actions."""
 
     def __init__(self, revision: str):
         self.older = variants.load_source({"name": "older", "revision": revision}).load()
         self.events = self.actions = 0
 
-    def scheduler(self, settings, seed, now, actions) -> "ComparedScheduler":
-        """A scheduler for `SchedulerSimulation`, `Schedule` and the scenarios' player."""
+    def create_scheduler(self, settings, seed, now, actions) -> "ComparedScheduler":
+        """Creates a scheduler, for `SchedulerSimulation`, `Schedule` and the scenario runner."""
         return ComparedScheduler(self, settings, seed, now, actions)
 
 
 class ComparedScheduler:
-    """Today's scheduler, which acts, with the older one beside it, which is only looked at."""
+    """The current scheduler, whose actions take effect, and the older one, for comparison only."""
 
     def __init__(self, comparison, settings, seed, now, actions):
         self.comparison, self.actions = comparison, actions
@@ -108,83 +107,83 @@
         calls, self.recorded.calls = self.recorded.calls, []
         expected, self.expected.calls = self.expected.calls, []
         if calls != expected:
-            raise DifferenceError(f"{name}{values}: {calls}, and before {expected}")
+            raise DifferenceError(f"{name}{values}: {calls}, expected {expected}")
         self.comparison.actions += len(calls)
         for action, *arguments in calls:
             getattr(self.actions, action)(*arguments)
 
 
 def play_scenarios(comparison: Comparison) -> None:
-    """Every scenario of the tests."""
+    """Runs every scenario of the tests."""
     path = ROOT / "tests" / "conftest.py"
-    found = importlib.util.spec_from_file_location("scenario_player", path)
-    module = importlib.util.module_from_spec(found)
-    found.loader.exec_module(module)
-    module.Scheduler = comparison.scheduler
+    spec = importlib.util.spec_from_file_location("scenario_player", path)
+    module = importlib.util.module_from_spec(spec)
+    spec.loader.exec_module(module)
+    module.Scheduler = comparison.create_scheduler
     for scenario in sorted((ROOT / "tests" / "scenarios").glob("*.txt")):
         module.ScenarioRunner().play(scenario.read_text())
 
 
 def play_fleets(comparison: Comparison, seeds: range) -> None:
-    """Small fleets of the lab, each under two kinds of faults, with load reports and hedging by turns."""
+    """Runs small lab fleets, each with two faults; load reports and hedging vary by seed."""
     for seed in seeds:
-        chance = random.Random(seed)
-        sets = {"/fleet/load": chance.choice(("none", "probe")), "/fleet/second_copies": seed % 3 > 0}
+        rng = random.Random(seed)
+        overrides = {"/fleet/load": rng.choice(("none", "probe")), "/fleet/second_copies": seed % 3 > 0}
         experiment = check(
             {
                 "name": "equivalence",
                 "seconds": 6,
                 "fleet": {"edges": 3, "nodes": 4, "zones": 2},
                 "volumes": {"basico": 3, "estandar": 2, "prioritario": 1},
-                "workload": {"load": chance.choice((0.4, 0.9, 1.6))},
-                "troubles": chance.sample(FAULTS, 2),
-                "variants": [{"name": "module", "set": sets}],
+                "workload": {"load": rng.choice((0.4, 0.9, 1.6))},
+                "troubles": rng.sample(FAULTS, 2),
+                "variants": [{"name": "module", "set": overrides}],
             }
         )
         day = draw_day(experiment, experiment["variants"][0], seed)
         simulation = SchedulerSimulation(
-            day.deployment, day.fleet, seed, comparison.scheduler, keep_records=False
+            day.deployment, day.fleet, seed, comparison.create_scheduler, keep_records=False
         )
         simulation.run(day.arrivals, day.events, experiment["seconds"])
 
 
-def play_schedules(comparison: Comparison, deployments: range, each: int) -> None:
-    """Drawn schedules over drawn deployments, by every scenario of the model check."""
+def play_schedules(comparison: Comparison, deployments: range, schedules_each: int) -> None:
+    """Runs random schedules over random deployments, for every scenario of the model check."""
     for number in deployments:
-        drawn = draw_deployment(random.Random(f"equivalence/{number}"))
+        random_deployment = draw_deployment(random.Random(f"equivalence/{number}"))
         for rule in SCENARIOS:
-            for scenario in scenarios_for(drawn, rule):
+            for scenario in scenarios_for(random_deployment, rule):
                 find_breach(
-                    drawn.bounds,
+                    random_deployment.bounds,
                     scenario,
                     REQUEST_CLASS,
                     PLAN,
-                    max_schedules=each,
+                    max_schedules=schedules_each,
                     seed=number,
-                    make_scheduler=comparison.scheduler,
+                    make_scheduler=comparison.create_scheduler,
                 )
 
 
 def main() -> int:
-    """The comparison as a command."""
+    """Runs all comparisons and returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--revision", default=BASELINE)
     parser.add_argument("--fleets", type=int, default=24, help="seeds of the lab's fleets")
-    parser.add_argument("--deployments", type=int, default=60, help="drawn deployments of the schedules")
-    parser.add_argument("--schedules", type=int, default=20, help="schedules of a scenario and deployment")
-    asked = parser.parse_args()
-    comparison = Comparison(asked.revision)
+    parser.add_argument("--deployments", type=int, default=60, help="random deployments for the schedules")
+    parser.add_argument("--schedules", type=int, default=20, help="schedules per scenario and deployment")
+    options = parser.parse_args()
+    comparison = Comparison(options.revision)
     parts = (
         ("scenarios", lambda: play_scenarios(comparison)),
-        ("fleets", lambda: play_fleets(comparison, range(asked.fleets))),
-        ("schedules", lambda: play_schedules(comparison, range(asked.deployments), asked.schedules)),
+        ("fleets", lambda: play_fleets(comparison, range(options.fleets))),
+        ("schedules", lambda: play_schedules(comparison, range(options.deployments), options.schedules)),
     )
     for name, part in parts:
         events, actions = comparison.events, comparison.actions
         try:
             part()
-        except DifferenceError as fault:
-            print(f"{name}: {fault}")
+        except DifferenceError as error:
+            print(f"{name}: {error}")
             return 1
         events, actions = comparison.events - events, comparison.actions - actions
         print(f"{name}: {events} events, {actions} actions, all the same")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -9,11 +9,11 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 SCRIPT = ROOT / ".ci" / "known_red.py"
-GOOD = "tests/test_it.py::test_red, the dial is late, issue 36"
+VALID_LINE = "tests/test_it.py::test_red, the connect is late, issue 36"
 
 
-def ran(folder, text, *options):
-    """The script on a tree of its own: exit code, options, what it tells."""
+def run_script(folder, text, *options):
+    """Runs the script in a temporary tree; returns its exit code, options and standard error."""
     (folder / ".ci").mkdir()
     (folder / "tests").mkdir()
     (folder / ".ci" / "known_red.py").write_text(SCRIPT.read_text())
@@ -23,21 +23,21 @@
     )
     if text is not None:
         (folder / "KNOWN-RED.txt").write_text(text)
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, folder / ".ci" / "known_red.py", *options],
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    return done.returncode, done.stdout.strip(), done.stderr
+    return result.returncode, result.stdout.strip(), result.stderr
 
 
 @pytest.mark.parametrize(
     "text, options",
     [
         ("", ""),
-        (GOOD, "--deselect=tests/test_it.py::test_red"),
+        (VALID_LINE, "--deselect=tests/test_it.py::test_red"),
         ("tests/test_it.py::test_many, of two, one fails, issue 7", "--deselect=tests/test_it.py::test_many"),
         ("tests/test_it.py::test_many[2], odd, issue 7\n\n", "--deselect=tests/test_it.py::test_many[2]"),
         (
@@ -46,21 +46,21 @@
         ),
     ],
 )
-def test_what_is_listed_is_left_out_and_printed(tmp_path, text, options):
-    code, given, told = ran(tmp_path, text)
-    assert code == 0 and given == options
-    assert all(line.split(", ")[0] in told for line in text.split("\n") if line)
+def test_listed_tests_are_deselected_and_printed(tmp_path, text, options):
+    code, printed_options, errors = run_script(tmp_path, text)
+    assert code == 0 and printed_options == options
+    assert all(line.split(", ")[0] in errors for line in text.split("\n") if line)
 
 
 @pytest.mark.parametrize(
     "text",
     [
-        "\n".join([GOOD] * 2),
+        "\n".join([VALID_LINE] * 2),
         "\n".join(f"tests/test_it.py::test_{number}, cause, issue 1" for number in range(11)),
         f"tests/test_it.py::test_red, {'long ' * 80}, issue 1",
         "tests/test_it.py::test_red, seed x, `a` `b`, cause, issue 1",
         "tests/test_it.py::test_red",
-        GOOD + " and more",
+        VALID_LINE + " and more",
         "tests/test_it.py, all of it, issue 1",
         "test_red, cause, issue 1",
         "tests/test_it.py::test_red, , issue x",
@@ -71,20 +71,20 @@
     ],
 )
 def test_a_list_that_is_too_long_malformed_or_names_no_test_fails(tmp_path, text):
-    code, given, told = ran(tmp_path, text)
-    assert code == 1 and not given and "KNOWN-RED.txt" in told and "Traceback" not in told
+    code, printed_options, errors = run_script(tmp_path, text)
+    assert code == 1 and not printed_options and "KNOWN-RED.txt" in errors and "Traceback" not in errors
 
 
-def test_what_a_listed_test_does_by_now_is_told(tmp_path):
-    text = f"{GOOD}\ntests/test_it.py::test_many, all fail, issue 7"
-    code, given, told = ran(tmp_path, text, "--passing")
-    assert code == 0 and not given
-    assert "still fails: tests/test_it.py::test_red" in told
-    assert "passes now, take it off the list: tests/test_it.py::test_many" in told
+def test_whether_listed_tests_pass_now_is_reported(tmp_path):
+    text = f"{VALID_LINE}\ntests/test_it.py::test_many, all fail, issue 7"
+    code, printed_options, errors = run_script(tmp_path, text, "--passing")
+    assert code == 0 and not printed_options
+    assert "still fails: tests/test_it.py::test_red" in errors
+    assert "passes now, take it off the list: tests/test_it.py::test_many" in errors
 
 
 def test_the_projects_own_list_can_be_read():
     spec = importlib.util.spec_from_file_location("known_red", SCRIPT)
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
-    assert len(module.listed((ROOT / "KNOWN-RED.txt").read_text())) <= module.MAX_LINES
+    assert len(module.parse_list((ROOT / "KNOWN-RED.txt").read_text())) <= module.MAX_LINES
