--- a/rushmux/standins/__init__.py
+++ b/rushmux/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds the program, fleets of them, fault injection, and checkers of recordings."""
+"""Stand-ins for clients, nodes and list sources, test fleets, fault injection, and checkers of recordings."""
--- a/rushmux/standins/client.py
+++ b/rushmux/standins/client.py
@@ -1,4 +1,4 @@
-"""A scripted SFTP client: requests in any number at once, each recorded with its answer."""
+"""An SFTP client for tests, which sends requests concurrently and records each with its reply."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,16 +6,16 @@
 from rushmux.sftp import packets as sftp
 
 READ_SIZE = 1 << 17
-PIECE_SIZE = 32_768
-"""Bytes of a READ or WRITE request."""
+CHUNK_SIZE = 32_768
+"""Data bytes of a READ or WRITE request."""
 
 
 class ConnectionClosedError(Exception):
-    """The connection ended before the answer came."""
+    """The connection ended before the reply arrived."""
 
 
 class StatusError(Exception):
-    """A status that is not OK; `status` is the packet."""
+    """A reply with a status other than OK; `status` is the packet."""
 
     def __init__(self, status):
         super().__init__(f"{status.code}: {status.message}")
@@ -23,37 +23,37 @@
 
 
 class Client:
-    """One session.  `record(kind, **fields)` hears of each request and answer."""
+    """One session.  `record(kind, **fields)` is called for each request and reply."""
 
     def __init__(self, record: Callable = lambda kind, **fields: None):
         self.record, self.name = record, ""
-        self.waiting, self.requests, self.writer, self.reading = {}, 0, None, None
+        self.pending, self.request_count, self.writer, self.reader_task = {}, 0, None, None
 
     async def connect(self, host, port):
-        """Opens the session; raises OSError or Gone."""
+        """Opens the session; raises OSError or ConnectionClosedError."""
         self.loop = asyncio.get_running_loop()
         self.reader, self.writer = await asyncio.open_connection(host, port)
         self.writer.write(sftp.encode(sftp.Init(sftp.VERSION, ())))
-        self.packets, first = sftp.PacketSplitter(), []
+        self.splitter, first = sftp.PacketSplitter(), []
         while not first:
             data = await self.reader.read(READ_SIZE)
             if not data:
-                raise ConnectionClosedError("before a version")
-            first = self.packets.feed(data)
+                raise ConnectionClosedError("closed before the version packet")
+            first = self.splitter.feed(data)
         self.version = sftp.decode(first[0])
         self.name = dict(self.version.extensions).get("session@rushmux", b"").decode()
         self.record("session", session=self.name)
-        self.reading = self.loop.create_task(self.read_all())
+        self.reader_task = self.loop.create_task(self.read_replies())
         return self
 
-    async def read_all(self):
+    async def read_replies(self):
         """Reads replies until the connection ends."""
-        why = "closed"
+        reason = "closed"
         try:
             while data := await self.reader.read(READ_SIZE):
-                for body in self.packets.feed(data):
+                for body in self.splitter.feed(data):
                     packet = sftp.decode(body)
-                    future = self.waiting.pop(packet.request_id, None)
+                    future = self.pending.pop(packet.request_id, None)
                     self.record(
                         "answer",
                         session=self.name,
@@ -64,35 +64,35 @@
                     )
                     if future is not None and not future.done():
                         future.set_result(packet)
-        except OSError as fault:
-            why = str(fault)
+        except OSError as error:
+            reason = str(error)
         finally:
-            self.record("ended", session=self.name, why=why, lost=len(self.waiting))
-            waiting, self.waiting = self.waiting, {}
-            for future in waiting.values():
+            self.record("ended", session=self.name, why=reason, lost=len(self.pending))
+            pending, self.pending = self.pending, {}
+            for future in pending.values():
                 if not future.done():
-                    future.set_exception(ConnectionClosedError(why))
+                    future.set_exception(ConnectionClosedError(reason))
             self.writer.close()
 
-    async def ask(self, kind, *fields, **about):
+    async def ask(self, kind, *fields, **record_fields):
         """Sends one request and waits for its reply.
 
         Args:
             kind: The packet's class.
-            fields: Its fields after the id.
-            about: Further fields of the recorded row.
+            fields: Its fields after the request id.
+            record_fields: Further fields of the recorded row.
 
         Raises:
             StatusError: The reply is a status other than OK.
             ConnectionClosedError: The connection ended before the reply came.
         """
-        if self.reading is None or self.reading.done():
+        if self.reader_task is None or self.reader_task.done():
             raise ConnectionClosedError("not connected")
-        # Ids count from one, as the server counts requests: both sides name a request alike.
-        self.requests += 1
-        number = self.requests
-        future = self.waiting[number] = self.loop.create_future()
-        self.record("ask", session=self.name, number=number, what=kind.__name__, **about)
+        # The server counts requests from 1 too, so that both sides' records use the same number.
+        self.request_count += 1
+        number = self.request_count
+        future = self.pending[number] = self.loop.create_future()
+        self.record("ask", session=self.name, number=number, what=kind.__name__, **record_fields)
         self.writer.write(sftp.encode(kind(number, *fields)))
         reply = await future
         if isinstance(reply, sftp.Status) and reply.code != sftp.OK:
@@ -100,55 +100,59 @@
         return reply
 
     async def close(self):
-        """Leaves; what is still asked is nobody's any more."""
+        """Closes the session; pending requests fail."""
         self.record("left", session=self.name)
-        if self.reading is not None:
-            self.reading.cancel()
-            await asyncio.gather(self.reading, return_exceptions=True)
+        if self.reader_task is not None:
+            self.reader_task.cancel()
+            await asyncio.gather(self.reader_task, return_exceptions=True)
 
-    # What a user does with several requests.
+    # Operations that send several requests.
 
-    async def open(self, path, flags, **about):
-        """Opens a file; its handle."""
-        return (await self.ask(sftp.Open, path, flags, sftp.Attributes(), **about)).handle
+    async def open(self, path, flags, **record_fields):
+        """Opens a file and returns its handle."""
+        return (await self.ask(sftp.Open, path, flags, sftp.Attributes(), **record_fields)).handle
 
-    async def put(self, path, data, piece=PIECE_SIZE, **about):
-        """Writes a whole file, its pieces side by side."""
-        handle = await self.open(path, sftp.WRITE | sftp.CREATE | sftp.TRUNCATE, **about)
+    async def put(self, path, data, chunk_size=CHUNK_SIZE, **record_fields):
+        """Writes a whole file in concurrent chunks."""
+        handle = await self.open(path, sftp.WRITE | sftp.CREATE | sftp.TRUNCATE, **record_fields)
         await asyncio.gather(
             *(
-                self.ask(sftp.Write, handle, at, data[at : at + piece], **about)
-                for at in range(0, len(data), piece)
+                self.ask(sftp.Write, handle, at, data[at : at + chunk_size], **record_fields)
+                for at in range(0, len(data), chunk_size)
             )
         )
-        await self.ask(sftp.Close, handle, **about)
+        await self.ask(sftp.Close, handle, **record_fields)
 
-    async def get(self, path, piece=PIECE_SIZE, **about):
-        """Reads a whole file."""
-        handle = await self.open(path, sftp.READ, **about)
+    async def get(self, path, chunk_size=CHUNK_SIZE, **record_fields):
+        """Reads a whole file, chunk after chunk."""
+        handle = await self.open(path, sftp.READ, **record_fields)
         parts = []
         while True:
             try:
-                parts.append((await self.ask(sftp.Read, handle, sum(map(len, parts)), piece, **about)).data)
-            except StatusError as refusal:
-                if refusal.status.code == sftp.EOF:
+                parts.append(
+                    (
+                        await self.ask(sftp.Read, handle, sum(map(len, parts)), chunk_size, **record_fields)
+                    ).data
+                )
+            except StatusError as error:
+                if error.status.code == sftp.EOF:
                     break
                 raise
-            if len(parts[-1]) < piece:
+            if len(parts[-1]) < chunk_size:
                 break
-        await self.ask(sftp.Close, handle, **about)
+        await self.ask(sftp.Close, handle, **record_fields)
         return b"".join(parts)
 
-    async def list_directory(self, path, **about):
-        """The names in a directory."""
-        handle = (await self.ask(sftp.OpenDir, path, **about)).handle
+    async def list_directory(self, path, **record_fields):
+        """Returns the names in a directory."""
+        handle = (await self.ask(sftp.OpenDir, path, **record_fields)).handle
         names = []
         while True:
             try:
-                names += [row.name for row in (await self.ask(sftp.ReadDir, handle, **about)).names]
-            except StatusError as refusal:
-                if refusal.status.code != sftp.EOF:
+                names += [row.name for row in (await self.ask(sftp.ReadDir, handle, **record_fields)).names]
+            except StatusError as error:
+                if error.status.code != sftp.EOF:
                     raise
                 break
-        await self.ask(sftp.Close, handle, **about)
+        await self.ask(sftp.Close, handle, **record_fields)
         return names
--- a/rushmux/standins/fault_control.py
+++ b/rushmux/standins/fault_control.py
@@ -1,4 +1,4 @@
-"""The common part of stand-ins that inject faults into themselves."""
+"""The base class of stand-ins that inject faults into themselves."""
 
 from abc import ABC, abstractmethod
 
@@ -7,22 +7,22 @@
 
 
 class FaultInjectingServer(PeerServer, ABC):
-    """A server that starts a fault when a peer asks for it."""
+    """A server that starts a fault on a peer's request."""
 
     @abstractmethod
     def start_fault(self, kind: str, size: float = 0.0, seconds: float = 0.0) -> None:
         """Starts a fault.
 
         Args:
-            kind: Its name.
-            size: How strong it is, as its kind means it.
-            seconds: When it ends; 0: never.
+            kind: The name of the fault.
+            size: Its strength, with a meaning of its own for each kind.
+            seconds: Its duration; 0: it does not end.
 
         Raises:
-            WireError: There is no fault of this kind.
+            WireError: The kind is unknown.
         """
 
     def on_fault_request(self, peer: PeerConnection, request: messages.Trouble) -> None:
-        """Starts the fault that a peer asked for, and acknowledges it."""
+        """Starts the fault that a peer requested, and acknowledges the request."""
         self.start_fault(request.kind, request.size, request.seconds)
         peer.send(obeyed=messages.Obeyed(kind=request.kind))
--- a/rushmux/standins/fault_injection.py
+++ b/rushmux/standins/fault_injection.py
@@ -1,4 +1,4 @@
-"""Runs fault scenarios on real processes of the program, and checks each."""
+"""Runs fault scenarios on fleets of real processes and checks their recordings."""
 
 import asyncio
 import json
@@ -16,24 +16,24 @@
 from rushmux.standins.script import Event, Script
 
 POLL_INTERVAL = 0.02
-"""Seconds between two looks at what planners recorded."""
+"""Seconds between reads of the planners' recordings."""
 SETTLE_TIME, SETTLE_POLL_INTERVAL = 25.0, 0.2
-"""Seconds at the end in which all members must come to one version, and between two looks at it."""
+"""Seconds within which all members must apply the same version at the end, and between checks of that."""
 CLIENT_SEED = 7
 
 
 class ScenarioRun:
-    """One scenario on a fleet that is up."""
+    """A run of a scenario on a started fleet."""
 
     def __init__(self, fleet: ScenarioFleet):
         self._fleet, self._loop = fleet, fleet.loop
 
     async def run(self) -> None:
-        """Runs the steps beside the clients' work, and waits until all has settled or the time is over."""
+        """Runs the steps while clients work, and waits until the fleet has settled or SETTLE_TIME is over."""
         steps = _Steps(self._fleet.scenario.steps, self._fleet.applied_commands)
         length, begun_at = self._fleet.scenario.sizes["length"], self._loop.time()
         clients, tasks = self._loop.create_task(self._run_clients()), []
-        while steps.remain or self._loop.time() - begun_at < length:
+        while steps.pending or self._loop.time() - begun_at < length:
             elapsed = self._loop.time() - begun_at
             tasks += [self._loop.create_task(self._fleet.run_step(step)) for step in steps.take_due(elapsed)]
             tasks += [self._loop.create_task(self._run_later(step)) for step in steps.take_triggered()]
@@ -60,7 +60,7 @@
 
 
 class _Steps:
-    """The steps of a scenario that were not taken yet."""
+    """The pending steps of a scenario."""
 
     def __init__(self, steps: Iterable[Step], applied_commands: Callable[[], list[Row]]):
         steps = list(steps)
@@ -70,17 +70,17 @@
         self._seen = {_command_key(row) for row in applied_commands()} if self._triggered else set()
 
     @property
-    def remain(self) -> bool:
+    def pending(self) -> bool:
         return bool(self._timed or self._triggered)
 
     def take_due(self, elapsed: float) -> list[Step]:
-        """Steps whose time has come."""
+        """Removes and returns the steps that are due."""
         due = [step for step in self._timed if step.at <= elapsed]
         self._timed = self._timed[len(due) :]
         return due
 
     def take_triggered(self) -> list[Step]:
-        """Steps that waited for a command that was applied meanwhile."""
+        """Removes and returns the steps whose command was applied since the last call."""
         taken: list[Step] = []
         for row in self._applied_commands() if self._triggered else ():
             if _command_key(row) not in self._seen:
@@ -96,7 +96,7 @@
 
 
 class ScenarioResult(NamedTuple):
-    """What became of a scenario: breaches (none: it passed) and counts of what happened."""
+    """The result of a scenario: the breaches found (none: it passed) and counts of events."""
 
     scenario: str
     breaches: list[str]
@@ -104,12 +104,12 @@
 
 
 async def run_scenario(scenario: Scenario, folder: Path, seed: int = 1) -> ScenarioResult:
-    """Runs a scenario on processes of its own and checks the recordings.
+    """Runs a scenario on a fleet of its own and checks the recordings.
 
     Args:
-        scenario: What happens.
-        folder: Where data, logs and recordings are put.
-        seed: Of all random draws.
+        scenario: The scenario.
+        folder: The folder for data, logs and recordings.
+        seed: The seed of all random draws.
     """
     folder.mkdir(parents=True, exist_ok=True)
     raw = raw_deployment(scenario)
@@ -127,7 +127,7 @@
         fleet.all_records(), deployment, scenario.expectations, fleet.operator_commands, fleet.stopped
     )
     if not settled:
-        breaches.append(f"not all came to one number within {SETTLE_TIME:g} s")
+        breaches.append(f"not all members applied the same policy version within {SETTLE_TIME:g} s")
     return ScenarioResult(scenario.name, breaches, facts)
 
 
@@ -143,11 +143,11 @@
     """Runs scenarios, each in a folder of its own.
 
     Args:
-        scenarios: What is run.
-        folder: Where their folders are put.
-        jobs: How many run at the same time.
-        seed: Of each.
-        show: Called with a line as each ends.
+        scenarios: The scenarios.
+        folder: The parent of their folders.
+        jobs: The number of scenarios that run concurrently.
+        seed: The seed of each scenario.
+        show: Called with a line of text when a scenario ends.
         show_facts: Whether the counts are shown too.
     """
     slots = asyncio.Semaphore(jobs)
@@ -164,9 +164,9 @@
 
 
 async def _run_or_fail(scenario: Scenario, folder: Path, seed: int) -> ScenarioResult:
-    """Runs a scenario; one that could not be run counts as a breach."""
+    """Runs a scenario; a failure to run it counts as a breach."""
     try:
         return await run_scenario(scenario, folder, seed)
     except (ProcessStartError, TimeoutError, OSError) as error:
-        reason = f"it could not be played: {type(error).__name__}: {error}"
+        reason = f"it could not be run: {type(error).__name__}: {error}"
         return ScenarioResult(scenario.name, [reason], Counter())
--- a/rushmux/standins/fault_proxy.py
+++ b/rushmux/standins/fault_proxy.py
@@ -1,7 +1,7 @@
-"""Proxies on loopback between the processes of a fleet, which inject faults of the network.
+"""Proxies on loopback between the processes of a fleet, which inject network faults.
 
-One proxy listens for each pair (who connects, to whom).  A cut is silent to both sides: what was sent arrives
-when it heals, as with packets that are sent again.  All is bounded, and ends with the fleet.
+One proxy listens for each pair of a connecting process and its target.  Neither side notices a cut: data sent
+meanwhile arrives when the link heals, as with TCP retransmission.
 """
 
 import asyncio
@@ -12,16 +12,16 @@
 READ_SIZE = 1 << 16
 MAX_CONNECTIONS = 2_000
 CONNECT_TIMEOUT = 2.0
-"""Seconds for a connection to the real process."""
+"""Seconds for the connection to the target process."""
 
 
 class Link:
-    """One direction between two processes: what happens to bytes on it.
+    """The faults of one direction between two processes.
 
     Attributes:
-        open: Set while bytes pass.
-        delay: Least and most seconds that bytes are held back.
-        reset_after: Bytes after which a connection is reset, once; None: never.
+        open: Set unless the link is cut.
+        delay: The shortest and longest delay of data, seconds.
+        reset_after: The number of bytes after which one connection is reset; None: none is reset.
     """
 
     def __init__(self) -> None:
@@ -32,13 +32,13 @@
 
 
 class FaultProxies:
-    """All proxies of a fleet.
+    """The proxies of a fleet.
 
     Attributes:
-        targets: Port of each process by its name.
+        targets: The port of each process by its name.
 
     Args:
-        rng: Draws delays.
+        rng: The source of random delays.
     """
 
     def __init__(self, rng: random.Random):
@@ -52,31 +52,31 @@
         self._loop = asyncio.get_running_loop()
 
     def link(self, source: str, target: str) -> Link:
-        """The direction from one process to another."""
+        """Returns the link from one process to another."""
         return self._links.setdefault((source, target), Link())
 
     async def port(self, source: str, target: str) -> int:
-        """Where `source` has to connect to reach `target`."""
+        """Returns the port at which `source` reaches `target`; starts the proxy if needed."""
         if (source, target) not in self._ports:
 
             async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                await self._carry(source, target, reader, writer)
+                await self._relay(source, target, reader, writer)
 
             server = await asyncio.start_server(accept, HOST, 0)
             self._servers.append(server)
             self._ports[source, target] = server.sockets[0].getsockname()[1]
         return self._ports[source, target]
 
-    async def _carry(
+    async def _relay(
         self, source: str, target: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Carries one connection until either side ends it."""
+        """Relays a connection until either side ends it."""
         if len(self._connections) >= MAX_CONNECTIONS or (source, target) in self._refused:
             writer.transport.abort()
             return
         self._connections[writer], target_writer = (source, target), None
         try:
-            await self.link(source, target).open.wait()  # half-open: accepted by the kernel, seen by nobody
+            await self.link(source, target).open.wait()  # half-open: only the kernel accepted it
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 target_reader, target_writer = await asyncio.open_connection(HOST, self.targets[target])
             self._connections[target_writer] = source, target
@@ -89,7 +89,7 @@
                 copy.cancel()
             await asyncio.gather(*copies, return_exceptions=True)
         except (OSError, TimeoutError, KeyError):
-            pass  # the process is not there: the connection ends
+            pass  # the target does not run: the connection ends
         finally:
             for end in (writer, target_writer):
                 if end is not None:
@@ -111,13 +111,13 @@
             await writer.drain()
 
     def block(self, sources: Iterable[str], targets: Sequence[str]) -> None:
-        """Nothing passes from the ones to the others until `heal`."""
+        """Cuts the links from sources to targets until `heal`."""
         for source in sources:
             for target in targets:
                 self.link(source, target).open.clear()
 
     def heal(self, sources: Iterable[str], targets: Sequence[str]) -> None:
-        """Ends all faults of the links from the ones to the others."""
+        """Ends the cuts, delays and refusals of the links from sources to targets."""
         for source in sources:
             for target in targets:
                 link = self.link(source, target)
@@ -126,14 +126,14 @@
                 self._refused.discard((source, target))
 
     def refuse(self, source: str, target: str) -> None:
-        """Refuses connections from one to another until `heal`, and breaks those that there are."""
+        """Refuses connections between two processes until `heal`, and aborts the open ones."""
         self._refused.add((source, target))
         for writer, pair in list(self._connections.items()):
             if pair in ((source, target), (target, source)):
                 writer.transport.abort()
 
     async def close(self) -> None:
-        """Ends all proxies and connections."""
+        """Closes all proxies and connections."""
         for server in self._servers:
             server.close()
         for writer in list(self._connections):
@@ -142,6 +142,6 @@
 
 
 def matching_names(pattern: str, names: Iterable[str]) -> list[str]:
-    """The names that a word of a scenario means: itself, or all that begin with it (`edges`, `planners`)."""
+    """Returns the names that a pattern matches: the same name, or all of a kind (`edges`, `planners`)."""
     prefix = pattern.rstrip("s")
     return [name for name in names if name == pattern or name.startswith(prefix)] or [pattern]
--- a/rushmux/standins/fault_scenario.py
+++ b/rushmux/standins/fault_scenario.py
@@ -1,17 +1,17 @@
-"""Fault scenarios: what happens to a fleet of real processes, as lines of text (`stories/*.txt`).
+"""The notation of fault scenarios, which run on fleets of real processes (`stories/*.txt`).
 
-`planners 3`, `edges 3`, `nodes 2`, `length 30`, `limit 60`, `load 0.3` state the fleet.  `at TIME VERB …` is
-done at a time, `on KIND VERB …` when the first planner has applied a command of that kind (`on propose after
-0.3 kill leader`).  Verbs:
+`planners 3`, `edges 3`, `nodes 2`, `length 30`, `limit 60`, `load 0.3` configure the fleet.  `at TIME VERB …`
+is a step at a time, `on KIND VERB …` a step when the first planner has applied a command of that kind
+(`on propose after 0.3 kill leader`).  Verbs:
 
     propose PLACE=VALUE … [base N] [as WORD]   withdraw N   revert N [as WORD]   forget MEMBER
     kill NAME   stop NAME SECONDS   start NAME [image|empty|torn]   image NAME   full NAME SECONDS
     cut NAMES from NAMES SECONDS   mute NAMES to NAMES SECONDS   delay NAMES to NAMES LEAST MOST SECONDS
     refuse NAMES to NAMES SECONDS   reset NAME from NAME BYTES
 
-`leader` is the planner that leads then, `last` what was killed last.
-`expect WORD decided|ended|withdrawn|refused [text]` says how a change has to end, `expect force N` which
-version is active at the end.
+`leader` is the current leader, `last` the process that was killed last.
+`expect WORD decided|ended|withdrawn|refused [text]` states the expected outcome of a change, `expect force N`
+the policy version that must be active at the end.
 """
 
 import json
@@ -26,7 +26,7 @@
 EXAMPLE = Path(documents.__file__).with_name("example.json")
 MAX_LINES = 500
 LIMITED_FOLDER = "caribe"
-"""A folder with a limit that is asked for more than it allows."""
+"""A folder with a limit, with more demand than the limit allows."""
 LIMITED_PLAN = "basico"
 SIZES: Mapping[str, float] = {
     "planners": 3,
@@ -37,7 +37,7 @@
     "load": 0.15,
     "surge": 16.0,
 }
-"""What a scenario may state of its fleet, and where it states nothing."""
+"""The parameters of a scenario's fleet, with their defaults."""
 VERBS = (
     "propose",
     "withdraw",
@@ -57,17 +57,17 @@
 
 
 class ScenarioError(Exception):
-    """A line that means nothing; the text names it."""
+    """A line is invalid, or the file cannot be read; the text quotes the line or the path."""
 
 
 class Step(NamedTuple):
-    """What is done.
+    """An action on the fleet.
 
     Attributes:
-        at: Seconds after the clients began, or after the command that it waits for.
-        on: Kind of the command that it waits for; empty: of none.
+        at: Seconds after the start of the clients, or after the command that triggers the step.
+        on: The kind of the command that triggers it; empty: none, it has a time.
         verb: One of VERBS.
-        words: Its arguments.
+        words: The arguments of the verb.
     """
 
     at: float
@@ -86,10 +86,10 @@
 
 
 def parse(text: str, name: str = "story") -> Scenario:
-    """The scenario that a text states.
+    """Parses the text of a scenario.
 
     Raises:
-        ScenarioError: A line means nothing; with the line and what is wrong in it.
+        ScenarioError: A line is invalid; the text quotes it with the reason.
     """
     sizes, steps, expectations = dict(SIZES), [], []
     for number, line in enumerate(text.splitlines()[:MAX_LINES], 1):
@@ -105,7 +105,7 @@
                 case ["at" | "on", *_]:
                     steps.append(_parse_step(words))
                 case _:
-                    raise ValueError("no line of this form")
+                    raise ValueError("unknown form of line")
         except (ValueError, IndexError) as error:
             raise ScenarioError(f"{name}, line {number}: {line.strip()}: {error}") from error
     return Scenario(name, sizes, tuple(steps), tuple(expectations))
@@ -122,7 +122,7 @@
 
 
 def load(name: str | PathLike[str]) -> Scenario:
-    """A scenario of the collection by its name, or a file by its path.
+    """Loads a scenario of the collection by its name, or a file by its path.
 
     Raises:
         ScenarioError: The file can't be read, or as `parse`.
@@ -136,12 +136,12 @@
 
 
 def names() -> list[str]:
-    """The scenarios of the collection."""
+    """Returns the names of the scenarios in the collection."""
     return sorted(path.stem for path in SCENARIOS.glob("*.txt"))
 
 
 def raw_deployment(scenario: Scenario) -> dict:
-    """The deployment file of a scenario: the example, with a policy in common and a limit that binds."""
+    """Returns a scenario's deployment: the example with a replicated policy, and a limit below the demand."""
     raw, limit = json.loads(EXAMPLE.read_text()), scenario.sizes["limit"]
     raw["fleet"].update(gateways=scenario.sizes["edges"], policy=True)
     raw["plans"][LIMITED_PLAN].update(limit=limit, burst=2 * limit)
--- a/rushmux/standins/fleet.py
+++ b/rushmux/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet on the virtual clock: list source, nodes, edges and clients in one process."""
+"""A fleet on the virtual clock: list source, nodes, edges and clients in one process."""
 
 import asyncio
 import random
@@ -25,32 +25,31 @@
 
 HOST = "127.0.0.1"
 START_TIMEOUT = 60.0
-"""Seconds until every edge knows all nodes."""
+"""Seconds within which every edge must know all nodes."""
 POLL_INTERVAL = 0.05
 DISK_SIZE = 1 << 30
-"""Bytes of a node's disk where a test says nothing else."""
+"""The default size of a node's disk, bytes."""
 EPOCH = 1_800_000_000.0
-"""Calendar time at the start of the virtual clock."""
-
+"""The calendar time at which the virtual clock starts."""
 
 FAULT_EVENTS = ("task.failed", "peer.fault", "policy_leader.answer_fault", "raft.command_unreadable")
-"""Log events of errors that a program caught and lived on with; in a test they are failures."""
+"""Log events of internal errors that a program survived; in tests they are failures."""
 
 
 class Part:
-    """A program of the fleet and the process it runs in."""
+    """A program of the fleet and the simulated process that runs it."""
 
     def __init__(self, process, program, port):
         self.process, self.program, self.port = process, program, port
 
     @property
     def address(self):
-        """Where it listens."""
+        """The address at which it listens."""
         return Address(HOST, self.port)
 
 
 def shape_of(deployment: Deployment, **other) -> Shape:
-    """A machine as the deployment states it."""
+    """Returns the machine shape that a deployment states."""
     settings = deployment.settings
     return Shape(
         cold_start=settings.initial_capacity,
@@ -62,12 +61,17 @@
 
 
 def dedup_window_of(deployment: Deployment) -> float:
-    """Seconds for which a node knows the mark of a change again, with room for the way to it."""
+    """Seconds for which a node recognizes the mark of a change, with a second for delays on the network."""
     return deployment.settings.request_classes[deployment.roles["change"]].dedup_window / TICKS_PER_SECOND + 1
 
 
 class VirtualFleet(FleetOperations):
-    """The fleet.  `records` collects what the stand-ins saw and `logs` what the programs logged."""
+    """The fleet.
+
+    Attributes:
+        records: The recorded events of the stand-ins and edges.
+        logs: The log entries of the programs.
+    """
 
     def __init__(
         self,
@@ -88,22 +92,22 @@
         self.lag, self.scheduler_type, self.disk = lag, scheduler_type, disk
         self.shape = shape_of(deployment, **shape)
         self.records, self.logs = [], []
-        self.log_disks = {} if buffer_logs else None  # edge -> the disk of its buffer's log
-        self.planner = planner  # path of a planner's store, to have one in place of the list source
-        self.endpoint_cache_folder = endpoint_cache_folder  # folder in which edges cache their endpoint lists
+        self.log_disks = {} if buffer_logs else None  # edge -> disk of its write-ahead log
+        self.planner = planner  # path of a planner's store; None: a list source
+        self.endpoint_cache_folder = endpoint_cache_folder  # None: edges have no cache
         self.log = log.to_list(self.logs, level)
         self.nodes, self.edges, self.stores, self.endpoint_source = {}, {}, {}, None
 
     def record(self, kind, **fields):
-        """Adds a row to the recording."""
+        """Records an event at the current time."""
         self.records.append({"kind": kind, "at": self.loop.time(), **fields})
 
     def draw_seed(self):
-        """A seed for a part of the fleet."""
+        """Draws a seed for a part of the fleet."""
         return self.rng.getrandbits(48)
 
     async def start(self, nodes: int, edges: int):
-        """Starts everything, nodes warm, and waits until the edges know the list."""
+        """Starts all parts, nodes warm, and waits until every edge knows all nodes."""
         if self.planner is not None:
             await self.start_single_planner(nodes)
         else:
@@ -118,10 +122,10 @@
             ):
                 return
             await self.sleep(POLL_INTERVAL)
-        raise TimeoutError(f"the edges do not know all {nodes} nodes after {START_TIMEOUT:g} s")
+        raise TimeoutError(f"not every edge knows all {nodes} nodes after {START_TIMEOUT:g} s")
 
     async def start_list_source(self, nodes, port=0):
-        """Starts the stand-in for the source of the list."""
+        """Starts the stand-in for the source of the endpoint list."""
         settings = self.deployment.settings
         process = self.loop.process("lists")
         source = ListSource(
@@ -138,7 +142,7 @@
         self.endpoint_source = Part(process, source, await process.spawn(source.open(HOST, port)))
 
     async def start_single_planner(self, nodes, port=0):
-        """Starts a planner, anew where one ran before: on the same port, with what it kept."""
+        """Starts a planner from its store; a restarted one gets its former port."""
         process = self.loop.process("planner")
         program = Planner(
             nodes,
@@ -155,7 +159,7 @@
         await asyncio.sleep(seconds)
 
     async def start_node(self, name, cell, cold=True, empty=False, disk=None):
-        """Starts a node; one of a known name has what it held before, unless it is to be empty."""
+        """Starts a node; a restarted one keeps its data unless `empty` is set."""
         if empty or name not in self.stores:
             self.stores[name] = Store(":memory:", cell, disk or self.disk, dedup_window_of(self.deployment))
         process = self.loop.process(name)
@@ -174,13 +178,13 @@
         return self.nodes[name]
 
     def kill_node(self, name):
-        """Kills a node; what it had not committed is lost."""
+        """Kills a node; its uncommitted changes are lost."""
         self.record("killed", node=name)
         self.nodes[name].process.kill()
         self.stores[name].roll_back()
 
     async def start_edge(self, number):
-        """Starts an edge, anew where it ran before."""
+        """Starts or restarts an edge."""
         process = self.loop.process(f"edge{number}")
         program = Edge(
             number,
@@ -200,7 +204,7 @@
         return self.edges[number]
 
     def endpoint_cache(self, number):
-        """The endpoint cache of an edge, where edges have one."""
+        """Returns an edge's endpoint cache, or None if edges have none."""
         if self.endpoint_cache_folder is None:
             return None
         return EndpointCache(
@@ -210,7 +214,7 @@
         )
 
     def log_disk(self, number):
-        """The disk of the log of an edge's write-back buffer, where edges have one."""
+        """Returns the disk of an edge's write-ahead log, or None if edges have none."""
         if self.log_disks is None:
             return None
         return self.log_disks.setdefault(number, SimulatedSegments())
@@ -221,44 +225,44 @@
         self.edges[number].process.kill()
 
     def reload(self, numbers, raw):
-        """Edges read their deployment's file anew, as on SIGHUP; whether each took its routes over."""
+        """Reloads the deployment at edges, as on SIGHUP; returns whether each applied its routes."""
         return [
             self.edges[number].process.context.run(self.edges[number].program.reload, lambda: build(raw))
             for number in numbers
         ]
 
     def cell_of(self, name):
-        """The cell that a node holds."""
+        """Returns the cell that a node stores."""
         return self.nodes[name].program.cell
 
     async def inject_fault(self, target, kind, size=0.0, seconds=0.0):
-        """Starts a fault at a node, or at the source of the endpoint list."""
+        """Starts a fault at a node or at the list source (`lists`)."""
         part = self.endpoint_source if target == "lists" else self.nodes[target]
         part.process.context.run(part.program.start_fault, kind, size, seconds)
 
     async def client(self, number) -> Client:
-        """A session with an edge."""
+        """Opens a session with an edge."""
         return await Client(self.record).connect(*self.edges[number].address)
 
-    def raise_faults(self):
-        """AssertionError where a program logged an error of its own."""
+    def raise_logged_faults(self):
+        """Raises AssertionError if a program logged an internal error."""
         faults = [row for row in self.logs if row["event"] in FAULT_EVENTS]
         if faults:
-            raise AssertionError(f"{len(faults)} faults were logged, first {faults[0]}")
+            raise AssertionError(f"{len(faults)} internal errors were logged, first {faults[0]}")
 
     def all_records(self):
-        """What the stand-ins saw and the edges were told, in the order of time."""
+        """Returns the recorded events in order of time."""
         return sorted(self.records, key=lambda row: row["at"])
 
 
-def run_fleet(deployment: Deployment, seed: int, story, nodes=4, edges=2, **fleet):
-    """Brings a fleet up on a virtual clock and plays `story(fleet)`; the fleet, and what that gave."""
+def run_fleet(deployment: Deployment, seed: int, steps, nodes=4, edges=2, **fleet):
+    """Starts a fleet on a virtual clock and runs `steps(fleet)`; returns the fleet and the steps' result."""
 
-    async def run_story(loop):
+    async def run_steps(loop):
         started = VirtualFleet(loop, deployment, seed, **fleet)
         await started.start(nodes, edges)
-        result = await story(started)
-        started.raise_faults()
+        result = await steps(started)
+        started.raise_logged_faults()
         return started, result
 
-    return run(run_story, seed)
+    return run(run_steps, seed)
--- a/rushmux/standins/fleet_operations.py
+++ b/rushmux/standins/fleet_operations.py
@@ -1,32 +1,32 @@
-"""Operators' actions on a fleet under test, the same on the virtual clock and between real processes."""
+"""Operators' actions on a fleet under test, on the virtual clock or with real processes."""
 
 import asyncio
 
 from rushmux.planner import admin_client
 from rushmux.planner.errors import CommandRejectedError, PlannerUnavailableError
 
-RETRY_TIMEOUT = 60.0  # seconds for which an operator repeats a command that got no answer
-RETRY_PAUSE = 0.5  # seconds between two attempts
+RETRY_TIMEOUT = 60.0  # seconds for which an operator repeats an unanswered command
+RETRY_PAUSE = 0.5  # seconds between attempts
 
 
 class FleetOperations:
-    """Part of a fleet that has `record`, `kill_node`, `node`, `cell_of` and `endpoint_source`."""
+    """Mixin for fleets with `record`, `kill_node`, `start_node`, `cell_of` and `endpoint_source`."""
 
     async def replace_node(self, name: str, new: str) -> None:
-        """Removes a node and starts a new, empty one for its cell."""
+        """Kills a node and starts a new, empty one for its cell."""
         cell = self.cell_of(name)
         self.kill_node(name)
         await self.start_node(new, cell)
 
     def kill_planner(self) -> None:
-        """Kills the only planner's process."""
+        """Kills the process of the only planner."""
         self.record("killed", planner=True)
         self.endpoint_source.process.kill()
 
     async def send_policy_command(self, label: str, verb: str, **fields) -> None:
-        """Sends a policy command until an answer comes, under one idempotency key.
+        """Sends a policy command, with one idempotency key, until it is answered.
 
-        The answer goes to `operator_commands`, under `label`.  For fleets that have `operator_commands` and
+        Adds the answer to `operator_commands` under `label`.  The fleet needs `operator_commands` and
         `planner_addresses`.
         """
         key = {"client": f"person{len(self.operator_commands)}", "n": 1, "by": "somebody"}
@@ -41,8 +41,8 @@
                 break
             except PlannerUnavailableError:
                 await asyncio.sleep(RETRY_PAUSE)
-            except CommandRejectedError as fault:
-                row["said"] = f"refused: {fault}"
+            except CommandRejectedError as error:
+                row["said"] = f"refused: {error}"
                 break
         if row["said"].endswith("is staged"):
             row["number"] = int(row["said"].split()[0])
--- a/rushmux/standins/lists.py
+++ b/rushmux/standins/lists.py
@@ -1,7 +1,6 @@
-"""A stand-in for the source of the endpoint list: it receives nodes' reports and informs edges, late.
+"""A stand-in for the source of the endpoint list, which forwards nodes' reports to edges with a delay.
 
-It knows only whether a node's process runs and what that reports of itself.  Changes reach the edges `lag`
-seconds after they happened, in order.
+It knows a node only by its connection and reports.  Changes reach the edges in order, after `lag` seconds.
 """
 
 import asyncio
@@ -16,34 +15,34 @@
 from rushmux.standins.fault_control import FaultInjectingServer
 
 MAX_NODES = 10_000
-"""Entries: as many as edges take."""
+"""The largest number of entries that edges accept."""
 MAX_SETTLE_TIME = 3.0
-"""Seconds at most until a source that starts lists the nodes that have reported."""
+"""Seconds after its start until a source publishes its list even if cells are missing."""
 REMOVED_RETENTION = 600.0
-"""Seconds for which a removed node stays in the list."""
+"""Seconds for which the list keeps a removed node."""
 PERCENT = 100
 REMOVED = "gone"
 LAG_FAULT, SILENT_FAULT = "lag", "silent"
 
 
 class Published(NamedTuple):
-    """An entry of the list as edges know it."""
+    """A published entry, and the time of its last change."""
 
     entry: messages.Entry
     since: float
 
 
 class ListSource(FaultInjectingServer):
-    """One source.
+    """The source of the endpoint list.
 
     Args:
-        cells: Number of cells.
-        lag: Seconds until edges learn of a change.
-        log: Its log.
-        record: Called with `(kind, **fields)` for each change that edges are told.
-        start: Its incarnation.
-        usage_period: Seconds of the fleet's usage meter; 0: there is none.
-        nominal_rates: Units a second that each folder's plan is sized for.
+        cells: The number of cells.
+        lag: The delay of changes, seconds.
+        log: The logger.
+        record: Called with `(kind, **fields)` for each published change.
+        start: The incarnation.
+        usage_period: Seconds between reports of the fleet's usage to nodes; 0: none are sent.
+        nominal_rates: The nominal rate of each folder's plan, units per second.
         accepts_faults: Whether peers may inject faults.
     """
 
@@ -73,7 +72,7 @@
         self._metering: asyncio.Task | None = None
 
     async def open(self, host: str, port: int) -> int:
-        """Listens; the port."""
+        """Starts to listen; returns the port."""
         self.loop = asyncio.get_running_loop()
         self.loop.call_later(MAX_SETTLE_TIME, self._settle)
         await self.listen(host, port)
@@ -82,19 +81,19 @@
         return self.port
 
     async def close(self) -> None:
-        """Ends."""
+        """Closes the server."""
         if self._metering:
             self._metering.cancel()
         await self.close_server()
 
     def on_peer_connected(self, peer: PeerConnection) -> None:
-        """Sends an edge the whole list."""
+        """Sends the whole list to an edge."""
         if peer.hello.peer.startswith("edge"):
             self._edges[peer] = True
             self._send_snapshot(peer)
 
     def on_peer_disconnected(self, peer: PeerConnection) -> None:
-        """Counts a node whose last connection ended as removed."""
+        """Marks a node as removed when its last connection ends."""
         self._edges.pop(peer, None)
         name = self._nodes.pop(peer, None)
         if name is not None and name not in self._nodes.values():
@@ -110,23 +109,23 @@
         elif name == "trouble" and self.accepts_faults:
             self.on_fault_request(peer, body)
         else:
-            raise WireError(f"{name} is not for the source of the list")
+            raise WireError(f"{name} is not for the list source")
 
     def _on_report(self, peer: PeerConnection, report: messages.Report) -> None:
         entry = report.entry
         if len(self._reported) >= MAX_NODES and entry.node not in self._reported:
             raise WireError(f"more than {MAX_NODES} nodes")
         if entry.cell >= self.cells or entry.node != peer.hello.peer:
-            raise WireError(f"node {entry.node} of cell {entry.cell} does not belong here")
+            raise WireError(f"invalid report of {entry.node}, cell {entry.cell} from {peer.hello.peer}")
         self._nodes[peer] = entry.node
         for used in report.used:
             self._used[used.volume] = self._used.get(used.volume, 0.0) + used.units
         self._on_entry(entry)
 
     def start_fault(self, kind: str, size: float = 0.0, seconds: float = 0.0) -> None:
-        """Starts a fault: `lag`, changes come `size` seconds late; `silent`, nothing is sent."""
+        """Starts a fault: `lag` delays changes by `size` seconds, `silent` sends nothing."""
         if kind not in (LAG_FAULT, SILENT_FAULT):
-            raise WireError(f"there is no trouble '{kind}'")
+            raise WireError(f"unknown fault '{kind}'")
         former_lag = self.lag
         if kind == LAG_FAULT:
             self.lag = size
@@ -143,19 +142,19 @@
             self._send_snapshots()
 
     def _on_entry(self, entry: messages.Entry) -> None:
-        """Publishes a change after the lag; a report without news changes only the free space."""
+        """Publishes a change after the lag; an unchanged entry updates only the free space."""
         known = self._reported.get(entry.node)
         self._reported[entry.node] = entry
         if known is not None and _identity(known) == _identity(entry):
             if entry.node in self._published:
                 self._published[entry.node].entry.free = entry.free
             return
-        if not self._settled:  # a source that starts waits until each cell has a node
+        if not self._settled:  # after its start, until each cell has a node
             self._published[entry.node] = Published(entry, self.loop.time())
             if len({published.entry.cell for published in self._published.values()}) == self.cells:
                 self._settle()
             return
-        # A later change never overtakes an earlier one.
+        # Not before an earlier change, which may have had a longer lag.
         self._last_publish_at = max(self._last_publish_at, self.loop.time() + self.lag)
         self.loop.call_at(self._last_publish_at, self._publish, Published(entry, self.loop.time()))
 
@@ -197,7 +196,7 @@
             peer.send(listing=self._listing(self._published.values(), is_snapshot=True))
 
     async def _report_usage(self) -> None:
-        """Tells the nodes, each period, what the fleet served for each folder in the one before."""
+        """Sends the nodes the fleet's usage by folder after each period."""
         while True:
             await asyncio.sleep(self.usage_period)
             used, self._used = self._used, {}
@@ -216,5 +215,5 @@
 
 
 def _identity(entry: messages.Entry) -> tuple[str, str, int, int]:
-    """What makes a report news."""
+    """Returns the fields whose change is published."""
     return entry.condition, entry.start, entry.port, entry.cell
--- a/rushmux/standins/node.py
+++ b/rushmux/standins/node.py
@@ -1,7 +1,4 @@
-"""A stand-in storage node.
-
-It stores objects and rows, takes as long as a machine would, and injects faults into itself when it is asked.
-"""
+"""A stand-in storage node, which stores data, models service times and injects faults on request."""
 
 import asyncio
 import contextlib
@@ -22,55 +19,55 @@
 from rushmux.standins.usage_meter import UsageMeter
 
 REPORT_INTERVAL = 1.0
-"""Seconds between reports to the source of the endpoint list."""
+"""Seconds between reports to the list source."""
 RECONNECT_DELAY = 0.3
-"""Seconds until that source is connected to again."""
+"""Seconds before the node connects to the list source again."""
 MAX_STUCK_ATTEMPTS = 10_000
-"""Attempts held by the fault `stuck`."""
+"""The most attempts that the fault `stuck` holds; further ones are lost."""
 READ_SIZE = 1 << 16
 SERVED_CODES = (messages.DONE, messages.MISSING, messages.CONFLICT)
-FAULT_TEXT = "in trouble"
-"""Text of errors that a fault makes."""
+FAULT_TEXT = "injected fault"
+"""The error text of attempts that fail because of a fault."""
 
 
 class Fault(StrEnum):
-    """Faults of a node; their size in brackets."""
+    """The faults of a node; the meaning of their size is in brackets."""
 
-    SILENT = "silent"  # no reply leaves
-    STUCK = "stuck"  # attempts wait until the fault ends, and run then
-    SLOW = "slow"  # work takes longer (times)
+    SILENT = "silent"  # no reply is sent
+    STUCK = "stuck"  # attempts are held, and run when the fault ends
+    SLOW = "slow"  # work takes longer (factor)
     ERRORS = "errors"  # attempts fail at once (probability)
-    LOST = "lost"  # attempts are lost on their way (probability)
-    RESETS = "resets"  # all connections break, once
-    DRAIN = "drain"  # it drains, for good
-    DISK = "disk"  # nothing fits on its disk
-    NOISY_NEIGHBOUR = "neighbour"  # another program on the machine, by turns (times)
-    UNMETERED = "unmetered"  # replies report no usage
-    UNANSWERED = "unanswered"  # replies are lost on their way (probability)
+    LOST = "lost"  # attempts are lost (probability)
+    RESETS = "resets"  # all connections are reset, once
+    DRAIN = "drain"  # the node drains until it is restarted
+    DISK = "disk"  # the disk is full
+    NOISY_NEIGHBOUR = "neighbour"  # another program slows the machine at intervals (factor)
+    UNMETERED = "unmetered"  # replies carry no usage
+    UNANSWERED = "unanswered"  # replies are lost (probability)
 
 
 class Identity(NamedTuple):
-    """What a node says of itself."""
+    """A node's description of itself."""
 
     name: str
     cell: int
     zone: str
     advertised: Address | None = None
-    """Where edges find it, if not where it listens."""
+    """The address for edges, if it differs from the one that the node listens on."""
 
 
 class Node(FaultInjectingServer):
-    """One node from one start.
+    """One start of a node.
 
     Args:
-        identity: Its name and place.
+        identity: Its name and location.
         store: Its disk.
-        endpoint_sources: Address of the source of the endpoint list, or of several planners.
+        endpoint_sources: The address of the list source, or the addresses of all planners.
         shape: Its machine.
-        seed: Of all its random draws and of its incarnation.
+        seed: The seed of its random draws and its incarnation.
         cold: Whether it begins with a slow start.
-        log: Its log.
-        record: Called with `(kind, **fields)` for every attempt, outcome and effect.
+        log: The logger.
+        record: Called with `(kind, **fields)` for each attempt, outcome, effect and other event.
         accepts_faults: Whether peers may inject faults.
     """
 
@@ -106,7 +103,7 @@
         self._reporting: asyncio.Task | None = None
 
     async def open(self, host: str, port: int) -> int:
-        """Starts its machine and listens; the port."""
+        """Starts the machine and the server; returns the port."""
         self.loop = asyncio.get_running_loop()
         self._started_at = self.loop.time()
         self.model = ServiceModel(self.shape, self._rng, self.cold, self._on_overload)
@@ -126,7 +123,7 @@
         return self.port
 
     async def close(self) -> None:
-        """Ends as a process that is killed: nothing more is answered."""
+        """Closes the node as a kill does: nothing more is answered."""
         self.model.stop()
         if self._reporting:
             self._reporting.cancel()
@@ -134,7 +131,7 @@
         self.store.close()
 
     def _on_overload(self) -> None:
-        """Stops serving: too much was sent to a cold node."""
+        """Stops serving, because a cold node was overloaded."""
         self._overloaded = True
         self.record("fell", node=self.name)
         self.log.error("node.fell")
@@ -143,10 +140,10 @@
         self.server.close()
         self.abort_connections()
 
-    # Reports to the source of the endpoint list.
+    # Reports to the list source.
 
     def age(self) -> int:
-        """Ticks since its start, as its greeting and its reports state; a warm node counts as warmed up."""
+        """Ticks since the start, for hellos and reports; a node started warm counts as already warmed up."""
         warm_for = 0 if self.cold else self.shape.warm_within
         return int((self.loop.time() - self._started_at + warm_for) * TICKS_PER_SECOND)
 
@@ -169,7 +166,7 @@
         return messages.Message(report=messages.Report(entry=entry, used=used, out=self.model.in_flight))
 
     async def _report_until_cancelled(self) -> None:
-        """Reports to the source of the endpoint list; of several planners to the one that takes it."""
+        """Reports to the list source, or to the planner that accepts reports, until cancelled."""
         attempt = 0
         while True:
             with contextlib.suppress(OSError):
@@ -178,7 +175,7 @@
             await asyncio.sleep(RECONNECT_DELAY)
 
     async def _report_to(self, address: Address) -> None:
-        """Reports until the connection ends."""
+        """Reports to an address until the connection ends."""
         reader, writer = await asyncio.open_connection(*address)
         try:
             hello = messages.Hello(version=VERSION, peer=self.name, start=self.incarnation)
@@ -204,15 +201,15 @@
                     self._fleet_usage = {used.volume: used.percent for used in message.meter.used}
 
     def _raise_fencing_floor(self, version: int) -> None:
-        """Rejects attempts under older policies from now on, and after a restart too."""
+        """Rejects attempts of edges with older policies from now on, also after a restart."""
         if version > self.store.fencing_floor:
             self.store.raise_fencing_floor(version)
             self.log.info("node.floor", number=version)
 
-    # Messages of edges.
+    # Messages from edges.
 
     def on_message(self, peer: PeerConnection, name: str, body) -> None:
-        """Handles a message of an edge, or of whoever injects faults."""
+        """Handles a message of an edge, or a request to inject a fault."""
         if name == "execute":
             self._on_attempt(peer, body)
         elif name == "withdraw":
@@ -238,11 +235,11 @@
         if self._overloaded:
             return
         self._record_attempt(peer, body)
-        # An edge that holds no version from the floor on came back with an old disk.
+        # An edge that knows no version from the floor on was restarted from an old disk.
         if 0 < body.knows < self.store.fencing_floor:
             self.record("fenced", node=self.name, op=body.op, execution=body.execution, policy=body.policy)
             self._answer(peer, body, messages.Outcome(code=messages.BUSY, floor=self.store.fencing_floor))
-        elif self._strikes(Fault.LOST):
+        elif self._occurs(Fault.LOST):
             return
         elif Fault.STUCK in self._faults:
             if len(self._stuck) < MAX_STUCK_ATTEMPTS:
@@ -268,8 +265,8 @@
         )
 
     def _submit(self, peer: PeerConnection, body: messages.Execute) -> None:
-        """Hands an attempt to the machine; a full machine rejects it."""
-        if self._strikes(Fault.ERRORS):
+        """Submits an attempt to the machine, which rejects it if its queue is full."""
+        if self._occurs(Fault.ERRORS):
             self._answer(peer, body, messages.Outcome(code=messages.FAILED, error=FAULT_TEXT))
             return
         key = f"{body.volume}/{body.key}" if body.key else ""
@@ -285,7 +282,7 @@
             self._answer(peer, body, messages.Outcome(code=messages.BUSY))
 
     def _complete(self, peer: PeerConnection, body: messages.Execute, dropped: bool) -> None:
-        """Executes an attempt whose service time is over, all of it or nothing."""
+        """Executes an attempt at the end of its service time; it takes effect whole or not at all."""
         if self._overloaded:
             return
         if dropped:
@@ -300,7 +297,7 @@
             self._change(peer, body, what)
 
     def _change(self, peer: PeerConnection, body: messages.Execute, what: str) -> None:
-        """Executes an attempt that changes the store; it is answered after the next commit."""
+        """Executes an attempt that changes the store; the next commit answers it."""
         if not self._uncommitted:
             self.store.begin()
             self.loop.call_soon(self._commit)
@@ -318,7 +315,7 @@
         if what == "drop":
             return self.store.drop(body.drop)
         if what != "change":
-            return messages.Outcome(code=messages.FAILED, error="nothing to do")
+            return messages.Outcome(code=messages.FAILED, error="the attempt names no operation")
         version = self.store.version
         outcome = self.store.change(body.volume, body.change, self.loop.time())
         if self.store.version != version:
@@ -332,13 +329,13 @@
             self._answer(peer, body, outcome)
 
     def _answer(self, peer: PeerConnection, body: messages.Execute, outcome: messages.Outcome) -> None:
-        """Sends an outcome with the node's load and the folder's usage, unless a fault keeps it back."""
+        """Sends an outcome with the node's load and the folder's usage, unless a fault suppresses it."""
         outcome.corr, outcome.inflight = body.corr, self.model.in_flight
         if outcome.code in SERVED_CODES:
             outcome.from_others = self.usage_meter.add(body.volume, peer.hello.peer, body.units)
             if self._fleet_usage is not None:
                 outcome.fleet_use = 1 + self._fleet_usage.get(body.volume, 0)
-        if Fault.SILENT in self._faults or self._strikes(Fault.UNANSWERED):
+        if Fault.SILENT in self._faults or self._occurs(Fault.UNANSWERED):
             return
         if Fault.UNMETERED in self._faults:
             outcome.from_others = outcome.fleet_use = 0
@@ -347,8 +344,8 @@
 
     # Faults.
 
-    def _strikes(self, fault: Fault) -> bool:
-        """Whether a fault that strikes with a probability does so now."""
+    def _occurs(self, fault: Fault) -> bool:
+        """Draws whether a fault with a probability occurs now."""
         return fault in self._faults and self._rng.random() < self._faults[fault]
 
     def start_fault(self, kind: str, size: float = 0.0, seconds: float = 0.0) -> None:
@@ -356,7 +353,7 @@
         try:
             fault = Fault(kind)
         except ValueError as error:
-            raise WireError(f"there is no trouble '{kind}'") from error
+            raise WireError(f"unknown fault '{kind}'") from error
         self.log.warning("trouble", kind=kind, size=size, seconds=seconds)
         if fault is Fault.RESETS:
             self.record("reset", node=self.name)
--- a/rushmux/standins/passthrough.py
+++ b/rushmux/standins/passthrough.py
@@ -1,6 +1,6 @@
-"""A stand-in for the decision module that decides next to nothing: first come, first sent.
+"""A minimal scheduler that sends operations as they arrive.
 
-It is a baseline to hold the module against, never a choice for service.
+It is a baseline to compare the real scheduler with, and not meant for service.
 """
 
 import random
@@ -9,19 +9,19 @@
 
 
 class PassThroughScheduler:
-    """Sends each operation at once to a node of its cell, once, until its hard stop."""
+    """Sends each operation once, immediately, to a node of its cell, with its hard stop as timeout."""
 
     def __init__(self, settings, seed, now, actions):
         self.settings, self.actions, self.random = settings, actions, random.Random(seed)
-        self.cells, self.request_classes = {}, {}  # of nodes' states; of operations in flight
+        self.cells, self.request_classes = {}, {}  # cell -> states by node; operation -> its class
 
     def on_endpoints(self, now, kind, endpoints):
-        """Takes in endpoints, whatever kind of update they are."""
+        """Records the endpoints' states, for either kind of update."""
         for endpoint in endpoints:
             self.cells.setdefault(endpoint.cell, {})[endpoint.node] = endpoint.state
 
     def on_operation(self, now, request):
-        """Sends the operation, or sheds it where its cell has no ready node."""
+        """Sends the operation, or sheds it if its cell has no ready node."""
         cell = request.cell
         if cell < 0 and self.cells:
             cell = self.random.choice(sorted(self.cells))
@@ -34,7 +34,7 @@
         self.actions.start_attempt(request.op_id, ready[0], timeout)
 
     def on_attempt_result(self, now, report):
-        """Gives the final answer of an operation that did not succeed."""
+        """Ends an operation that did not succeed."""
         request_class = self.request_classes.pop(report.op_id, None)
         if request_class is None or report.operation_ended:
             return
@@ -48,10 +48,10 @@
         self.request_classes.pop(op_id, None)
 
     def run_round(self, now):
-        """Nothing waits here."""
+        """Does nothing: no operations wait."""
 
     def on_quota(self, now, volume, share):
-        """Limits are the scheduler's."""
+        """Does nothing: limits are not enforced."""
 
     def on_route_policies(self, policies):
-        """Route policies are the scheduler's."""
+        """Does nothing: route policies are not applied."""
--- a/rushmux/standins/processes.py
+++ b/rushmux/standins/processes.py
@@ -1,4 +1,4 @@
-"""A whole fleet as processes on loopback: each part is `python -m rushmux ...` of its own."""
+"""A fleet of real processes on loopback; each part is a process of `python -m rushmux`."""
 
 import asyncio
 import json
@@ -18,20 +18,20 @@
 
 HOST = "127.0.0.1"
 START_TIMEOUT = 30.0
-"""Seconds for a process to print where it listens: a busy machine's imports."""
+"""Seconds for a process to print its port; imports are slow on a busy machine."""
 STOP_TIMEOUT = 15.0
-"""Seconds for a process to end after SIGTERM, past its clients' patience."""
+"""Seconds for a process to end after SIGTERM; longer than its clients wait for answers."""
 LIST_TIMEOUT = 30.0
-"""Seconds until every edge knows the list."""
+"""Seconds within which every edge must have an endpoint list."""
 POLL_INTERVAL = 0.05
 READ_SIZE = 1 << 16
 SEED_BITS = 48
 MAX_LOG_SHOWN = 2_000
-"""Characters of a log's end in an error."""
+"""The number of characters of a log's end that an error quotes."""
 
 
 class ProcessStartError(Exception):
-    """A part of the fleet did not come up; the text holds its last words."""
+    """A process of the fleet did not start; the text quotes the end of its log."""
 
 
 class Part:
@@ -43,12 +43,12 @@
 
     @property
     def address(self):
-        """Where it listens."""
+        """The address at which it listens."""
         return Address(HOST, self.port)
 
 
 class ProcessFleet(FleetOperations):
-    """The fleet; its data, logs and recordings lie in `folder`.  `records`: write recordings."""
+    """The fleet; `folder` holds its data, logs and recordings (written if `records` is set)."""
 
     def __init__(
         self,
@@ -67,25 +67,25 @@
         self.folder, self.lag = Path(folder), lag
         self.rng, self.records, self.scheduler, self.unit = random.Random(seed), records, scheduler, unit
         self.loop = asyncio.get_running_loop()
-        self.nodes, self.edges, self.endpoint_source, self.count, self.rows = {}, {}, None, 0, []
-        self.planner = planner  # a planner in place of the list source
+        self.nodes, self.edges, self.endpoint_source, self.process_count, self.rows = {}, {}, None, 0, []
+        self.planner = planner  # whether a planner replaces the list source
         self.cells = 0
-        self.interpreter_options = {}  # kind of part -> words for the interpreter before the program
+        self.interpreter_options = {}  # subcommand -> interpreter options
         for name in ("data", "logs", "records"):
             (self.folder / name).mkdir(parents=True, exist_ok=True)
 
     def record(self, kind, **fields):
-        """Adds a row to the recording of what is done to the fleet."""
+        """Records an event at the current time."""
         self.rows.append({"kind": kind, "at": self.loop.time(), **fields})
 
     async def start_process(self, name, *words):
-        """Starts a part and waits until it says where it listens."""
-        self.count += 1
-        log = self.folder / "logs" / f"{self.count:03}-{name}.jsonl"
-        rows = self.folder / "records" / f"{self.count:03}-{name}.jsonl"
+        """Starts a process with a subcommand and its arguments, and waits until it prints its port."""
+        self.process_count += 1
+        log = self.folder / "logs" / f"{self.process_count:03}-{name}.jsonl"
+        rows = self.folder / "records" / f"{self.process_count:03}-{name}.jsonl"
         more = ["--records", str(rows)] if self.records else []
-        with open(log, "wb") as sink:
-            # A fleet whose starter is killed would run on alone: each process ends with its standard input.
+        with open(log, "wb") as log_file:
+            # Each process ends when its standard input closes, so that none outlives a killed parent.
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 *self.interpreter_options.get(words[0], ()),
@@ -98,7 +98,7 @@
                 str(self.rng.getrandbits(SEED_BITS)),
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
-                stderr=sink,
+                stderr=log_file,
             )
         try:
             async with asyncio.timeout(START_TIMEOUT):
@@ -110,7 +110,7 @@
         return Part(name, process, announced["port"], log, start=announced.get("start", ""))
 
     async def start(self, nodes: int, edges: int):
-        """Starts everything, nodes warm, and waits until the edges know the list."""
+        """Starts all parts, nodes warm, and waits until every edge has an endpoint list."""
         self.cells = nodes
         await (self.start_single_planner() if self.planner else self.start_list_source())
         await asyncio.gather(*(self.start_node(f"node{cell}", cell, cold=False) for cell in range(nodes)))
@@ -120,13 +120,13 @@
                 await asyncio.sleep(POLL_INTERVAL)
 
     async def start_list_source(self):
-        """Starts the stand-in for the source of the list."""
+        """Starts the stand-in for the source of the endpoint list."""
         self.endpoint_source = await self.start_process(
             "lists", "lists", "--deployment", self.file, "--cells", self.cells, "--lag", self.lag, "--obeys"
         )
 
     async def start_single_planner(self, port=0):
-        """Starts the planner, anew where it ran before."""
+        """Starts or restarts the planner."""
         self.endpoint_source = await self.start_process(
             "planner",
             "planner",
@@ -141,7 +141,7 @@
         )
 
     async def start_node(self, name, cell, cold=True):
-        """Starts a node; one of a known name has what it held before."""
+        """Starts a node; a restarted one keeps its data."""
         words = [
             "node",
             "--deployment",
@@ -163,7 +163,7 @@
         return part
 
     async def start_edge(self, number, port=0):
-        """Starts an edge, on the port that it had before where one is given."""
+        """Starts an edge; `port` is its former port for a restart."""
         part = await self.start_process(
             f"edge{number}",
             "edge",
@@ -184,14 +184,14 @@
         return part
 
     def reload(self, numbers, raw):
-        """Writes the deployment's file anew and tells edges to read it."""
+        """Replaces the deployment file and has edges reload it."""
         atomic_write.replace_file(self.file, json.dumps(raw, indent=2).encode())
         for number in numbers:
             if self.edges[number].process.returncode is None:
                 self.edges[number].process.send_signal(signal.SIGHUP)
 
     def cell_of(self, name):
-        """The cell that a node holds."""
+        """Returns the cell that a node stores."""
         return self.nodes[name].cell
 
     def kill_node(self, name):
@@ -205,13 +205,13 @@
         self.edges[number].process.kill()
 
     async def inject_fault(self, target, kind, size=0.0, seconds=0.0):
-        """Starts a fault at a node or the source of the endpoint list, over its own socket."""
+        """Starts a fault at a node or at the list source (`lists`), by a message to it."""
         part = self.endpoint_source if target == "lists" else self.nodes[target]
         reader, writer = await asyncio.open_connection(*part.address)
         hello = messages.Hello(version=VERSION, peer="script", start="0")
         writer.write(frame(messages.Message(hello=hello)))
-        order = messages.Trouble(kind=kind, size=size, seconds=seconds)
-        writer.write(frame(messages.Message(trouble=order)))
+        request = messages.Trouble(kind=kind, size=size, seconds=seconds)
+        writer.write(frame(messages.Message(trouble=request)))
         frames, found = FrameReader(), []
         while kind != "resets" and not any(message.WhichOneof("body") == "obeyed" for message in found):
             data = await reader.read(READ_SIZE)
@@ -222,11 +222,11 @@
         writer.close()
 
     async def client(self, number) -> Client:
-        """A session with an edge."""
+        """Opens a session with an edge."""
         return await Client(self.record).connect(*self.edges[number].address)
 
     async def stop_process(self, part):
-        """Ends a process: in order, or by SIGKILL after a while."""
+        """Stops a process by SIGTERM, or by SIGKILL after a timeout."""
         if part.process.returncode is None:
             part.process.stdin.close()
             part.process.terminate()
@@ -238,7 +238,7 @@
         await part.process.wait()
 
     async def stop(self):
-        """Ends every part: edges first, so that they answer what they hold."""
+        """Stops all parts, the edges first so that they can answer pending requests."""
         for parts in (
             self.edges.values(),
             self.nodes.values(),
@@ -247,7 +247,7 @@
             await asyncio.gather(*(self.stop_process(part) for part in parts))
 
     def all_records(self):
-        """What clients, nodes and edges recorded, in the order of time."""
+        """Returns the recorded events of clients, nodes and edges in order of time."""
         rows = list(self.rows)
         for path in sorted((self.folder / "records").glob("*.jsonl")):
             rows += read_rows(path)
@@ -255,7 +255,7 @@
 
 
 def read_rows(path):
-    """The rows of a recording; a last line cut off by a kill is left out."""
+    """Returns the rows of a recording, without a last line that a kill truncated."""
     rows = []
     for line in path.read_bytes().splitlines(keepends=True):
         if line.endswith(b"\n"):
--- a/rushmux/standins/scenario.py
+++ b/rushmux/standins/scenario.py
@@ -1,7 +1,7 @@
-"""A scripted day: clients that file and read documents, and the events of a script.
+"""A scripted day: clients that store and read documents, and the events of a script.
 
-Arrivals are drawn ahead of their answers and never wait for them.  Contents follow from the path
-and a number, so that every byte read can be judged.
+Tasks arrive at random, whether or not earlier ones are answered.  A file's content follows from its path and
+a version number, so that every byte read can be verified.
 """
 
 import asyncio
@@ -16,29 +16,36 @@
 from rushmux.standins.script import DAYS, Script
 
 MAX_TASKS = 4_000
-"""User tasks at a time; more are counted as rejected by the load itself."""
+"""The most concurrent user tasks of a folder; further ones are skipped and counted as rejected."""
 MAX_KNOWN_FILES = 200
-"""Files of a folder that readers choose from."""
+"""The number of a folder's latest files that readers choose from."""
 LEDGER_SIZE = 4_096
-"""Bytes of the file that is written over and over."""
+"""Bytes of a ledger, a file that is overwritten again and again."""
 LEDGER_READ_CHANCE = 0.5
 FILE_SIZES = ((0.6, 2_000, 30_000), (0.3, 30_000, 64_000), (0.1, 64_000, 300_000))
-"""Share of the files, least and most bytes."""
+"""Shares of the files, with their smallest and largest sizes in bytes."""
 UNITS_PER_TASK = 6.0
-"""Units of a mean task, for its rate."""
+"""Units of an average task; determines the rate of tasks."""
 MAX_SESSIONS = 6
-"""Sessions of a folder with an edge."""
+"""The most sessions of a folder with an edge."""
 BUSY_REQUESTS, MAX_REQUESTS = 8, 40
-"""Requests in flight in a session before another is opened, and at the most."""
+"""Pending requests of a session from which on another one is opened, and the most allowed."""
 RECONNECT_DELAY = 0.5
-"""Seconds until a lost session is opened again."""
+"""Seconds before a session that could not be opened may be tried again."""
 DRAIN_PATIENCE = 3
-"""Times the clients' patience that the last answers are waited for."""
+"""How long the end of the day waits for the last answers, in request timeouts."""
 DIGEST_BYTES, SEED_BYTES = 8, 32
 
 
 class Load(NamedTuple):
-    """What clients ask: `part` is the share of each folder's nominal rate."""
+    """The load of clients.
+
+    Attributes:
+        nominal_share: The rate, relative to the nominal rate of each folder's plan.
+        reads: The share of tasks that read a file.
+        lists: The share that list the folder.
+        ledgers: The share that read or overwrite a ledger; all others write a new file.
+    """
 
     nominal_share: float = 1.0
     reads: float = 0.55
@@ -47,27 +54,27 @@
 
 
 def content(path: str, number: int, size: int) -> bytes:
-    """The bytes of a version of a file."""
+    """Returns the content of a version of a file."""
     seed = hashlib.blake2b(f"{path}#{number}".encode(), digest_size=SEED_BYTES).digest()
     return (seed * (size // SEED_BYTES + 1))[:size]
 
 
 def digest(data: bytes) -> str:
-    """What tells contents apart in recordings."""
+    """Returns a hash that identifies a content in recordings."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
 class FolderClients:
-    """The clients of one folder: a few sessions with each edge, opened anew when they end."""
+    """The clients of a folder, with a few sessions at each edge, which are reopened when they end."""
 
     def __init__(self, fleet, folder, edges, load, seed):
         self.fleet, self.folder, self.edges, self.load = fleet, folder, edges, load
         self.rng, self.sessions, self.files = random.Random(seed), {}, deque(maxlen=MAX_KNOWN_FILES)
         self.count, self.rate_factor, self.running, self.rejected = 0, 1.0, {}, 0
-        self.ledger = {}  # edge -> number of the last version written through it
+        self.ledger_versions = {}  # edge -> number of its ledger's last version
 
     async def run(self, until):
-        """Draws arrivals until a time."""
+        """Starts tasks at random until a time."""
         loop, plan = self.fleet.loop, self.fleet.deployment.settings.plans
         rate = (
             plan[self.fleet.deployment.folders[self.folder].plan].nominal
@@ -85,25 +92,27 @@
             task.add_done_callback(self.running.pop)
 
     async def session(self, edge) -> Client:
-        """A session with the edge that has little to do; another one where all are busy."""
+        """Returns the least busy session with an edge, or a new one if all are busy."""
         pool = self.sessions.setdefault(edge, [])
         pool[:] = [
-            held
-            for held in pool
-            if not held.done() or (not held.exception() and not held.result().reading.done())
+            task
+            for task in pool
+            if not task.done() or (not task.exception() and not task.result().reader_task.done())
         ]
-        free = min(pool, key=lambda held: len(held.result().waiting) if held.done() else 0, default=None)
-        busy = free is None or (free.done() and len(free.result().waiting) >= BUSY_REQUESTS)
+        least_busy = min(
+            pool, key=lambda task: len(task.result().pending) if task.done() else 0, default=None
+        )
+        busy = least_busy is None or (least_busy.done() and len(least_busy.result().pending) >= BUSY_REQUESTS)
         if busy and len(pool) < MAX_SESSIONS:
-            free = self.fleet.loop.create_task(self.open_session(edge))
-            pool.append(free)
-        elif busy and len(free.result().waiting) >= MAX_REQUESTS:
+            least_busy = self.fleet.loop.create_task(self.open_session(edge))
+            pool.append(least_busy)
+        elif busy and len(least_busy.result().pending) >= MAX_REQUESTS:
             self.rejected += 1
             raise ConnectionClosedError("all sessions are busy")
-        return await asyncio.shield(free)
+        return await asyncio.shield(least_busy)
 
     async def open_session(self, edge):
-        """A new session; where it fails, only after a while."""
+        """Opens a session; delays a failure, so that it is not retried at once."""
         try:
             return await self.fleet.client(edge)
         except (OSError, ConnectionClosedError):
@@ -111,24 +120,24 @@
             raise
 
     async def run_task(self, number, edge):
-        """One thing that a user does; what did not succeed is in the recording."""
-        draw, about = self.rng.random(), {"folder": self.folder}
+        """Runs a task of a user; its failures are in the recording."""
+        draw, record_fields = self.rng.random(), {"folder": self.folder}
         size = self.draw_size()
         try:
             client = await self.session(edge)
             if draw < self.load.ledgers:
-                await self.write_ledger(client, edge, about)
+                await self.use_ledger(client, edge, record_fields)
             elif draw < self.load.ledgers + self.load.lists:
-                await client.list_directory(f"/{self.folder}", **about)
+                await client.list_directory(f"/{self.folder}", **record_fields)
             elif draw < self.load.ledgers + self.load.lists + self.load.reads and self.files:
-                await self.read(client, self.rng.choice(self.files), about)
+                await self.read(client, self.rng.choice(self.files), record_fields)
             else:
-                await self.write(client, f"/{self.folder}/{number:06}", size, about)
+                await self.write(client, f"/{self.folder}/{number:06}", size, record_fields)
         except (StatusError, ConnectionClosedError, OSError):
             pass
 
     def draw_size(self):
-        """Bytes of a new file."""
+        """Draws the size of a new file."""
         draw = self.rng.random()
         for share, least, most in FILE_SIZES:
             if draw < share:
@@ -137,48 +146,48 @@
         return FILE_SIZES[0][1]
 
     def record(self, kind, path, data, begun):
-        """Records what was read or written, and since when."""
+        """Records a read or write of a file, and its start time."""
         self.fleet.record(kind, path=path, digest=digest(data), begun=begun)
 
-    async def write(self, client, path, size, about):
+    async def write(self, client, path, size, record_fields):
         """Writes a new file."""
         data, begun = content(path, 0, size), self.fleet.loop.time()
         self.record("writing", path, data, begun)
-        await client.put(path, data, **about)
+        await client.put(path, data, **record_fields)
         self.record("wrote", path, data, begun)
         self.files.append(path)
 
-    async def read(self, client, path, about):
+    async def read(self, client, path, record_fields):
         """Reads a whole file."""
         begun = self.fleet.loop.time()
-        data = await client.get(path, **about)
+        data = await client.get(path, **record_fields)
         self.record("got", path, data, begun)
 
-    async def write_ledger(self, client, edge, about):
-        """One WRITE over the whole of a file, or one READ of it: each sees one version, whole."""
+    async def use_ledger(self, client, edge, record_fields):
+        """Overwrites or reads a ledger in one request, so that a read must return one complete version."""
         path, begun = f"/{self.folder}/ledger{edge}", self.fleet.loop.time()
-        if edge in self.ledger and self.rng.random() < LEDGER_READ_CHANCE:
-            handle = await client.open(path, sftp.READ, **about)
+        if edge in self.ledger_versions and self.rng.random() < LEDGER_READ_CHANCE:
+            handle = await client.open(path, sftp.READ, **record_fields)
             begun = self.fleet.loop.time()
-            reply = await client.ask(sftp.Read, handle, 0, LEDGER_SIZE, **about)
+            reply = await client.ask(sftp.Read, handle, 0, LEDGER_SIZE, **record_fields)
             self.record("got", path, reply.data, begun)
         else:
-            number = self.ledger[edge] = self.ledger.get(edge, 0) + 1
+            number = self.ledger_versions[edge] = self.ledger_versions.get(edge, 0) + 1
             data = content(path, number, LEDGER_SIZE)
-            handle = await client.open(path, sftp.WRITE | sftp.CREATE, **about)
+            handle = await client.open(path, sftp.WRITE | sftp.CREATE, **record_fields)
             begun = self.fleet.loop.time()
             self.record("writing", path, data, begun)
             try:
-                await client.ask(sftp.Write, handle, 0, data, **about)
+                await client.ask(sftp.Write, handle, 0, data, **record_fields)
             except (StatusError, ConnectionClosedError):
                 self.record("unsure", path, data, begun)
                 raise
             self.record("wrote", path, data, begun)
-        await client.ask(sftp.Close, handle, **about)
+        await client.ask(sftp.Close, handle, **record_fields)
 
 
-async def carry_out(fleet, clients_of, event):
-    """Carries out one event of a script."""
+async def run_event(fleet, clients_of, event):
+    """Executes an event of a script."""
     fleet.record("event", verb=event.verb, target=event.target, what=event.kind)
     if event.verb == "trouble":
         await fleet.inject_fault(event.target, event.kind, event.size, event.seconds)
@@ -204,7 +213,7 @@
 
 
 async def run_day(fleet, script: Script, load: Load, seed: int):
-    """Plays a day on a fleet that is up; returned when the last answer has come."""
+    """Runs a day on a started fleet; returns after the last answer."""
     loop, rng = fleet.loop, random.Random(seed)
     begun, numbers = loop.time(), sorted(fleet.edges)
     clients_of = {
@@ -216,13 +225,13 @@
     event_tasks = []
     for event in script.events:
         await asyncio.sleep(max(0, begun + event.at - loop.time()))
-        event_tasks.append(loop.create_task(carry_out(fleet, clients_of, event)))
+        event_tasks.append(loop.create_task(run_event(fleet, clients_of, event)))
     await asyncio.gather(*tasks, *event_tasks)
-    ending = loop.time() + fleet.deployment.sessions.request_timeout * DRAIN_PATIENCE
-    while any(clients.running for clients in clients_of.values()) and loop.time() < ending:
+    deadline = loop.time() + fleet.deployment.sessions.request_timeout * DRAIN_PATIENCE
+    while any(clients.running for clients in clients_of.values()) and loop.time() < deadline:
         await asyncio.sleep(0.1)
     fleet.record("end", turned_away=sum(clients.rejected for clients in clients_of.values()))
     for clients in clients_of.values():
-        for held in (held for pool in clients.sessions.values() for held in pool):
-            if held.done() and not held.exception():
-                await held.result().close()
+        for task in (task for pool in clients.sessions.values() for task in pool):
+            if task.done() and not task.exception():
+                await task.result().close()
--- a/rushmux/standins/scenario_fleet.py
+++ b/rushmux/standins/scenario_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a fault scenario: real processes of the program with proxies between them, and the verbs."""
+"""The fleet of a fault scenario, real processes with proxies between them, and its verbs."""
 
 import asyncio
 import copy
@@ -17,14 +17,14 @@
 from rushmux.standins.processes import HOST, Part, ProcessFleet
 
 NODE_UNIT_TIME = 0.002
-"""Seconds of a core for a unit of work at a node."""
+"""The time that a node's core takes for a unit of work, seconds."""
 POLL_INTERVAL = 0.1
 START_TIMEOUT = 45.0
-"""Seconds until every edge serves under the policy."""
+"""Seconds within which every edge must serve under the policy."""
 LEADER_POLLS, KILL_POLLS = 100, 300
-"""Looks for a leader, and for a process that a scenario kills first, a slow interval apart."""
+"""Polls for a leader, and for a process that a step must kill first."""
 TORN_BYTES = 3
-"""Bytes that a torn log lacks at its end."""
+"""Bytes cut off the end of a torn log."""
 PLANNER_LETTERS = "abcde"
 EDGE, NODE, PLANNER = "edge", "node", "planner"
 
@@ -32,7 +32,7 @@
 
 
 class ScenarioFleet(ProcessFleet):
-    """The fleet of a scenario: planners, nodes and edges that reach each other through proxies."""
+    """Planners, nodes and edges that reach each other through proxies."""
 
     def __init__(self, scenario: Scenario, file: Path, deployment: Deployment, folder: Path, seed: int):
         super().__init__(file, deployment, folder, seed, records=True, unit=NODE_UNIT_TIME)
@@ -41,19 +41,19 @@
         self.planners: dict[str, Part] = {}
         self.killed: list[str] = []
         self.operator_commands: list[Row] = []
-        self.stopped: dict[str, bool] = {}  # edges that ever stood still
+        self.stopped: dict[str, bool] = {}  # processes that were ever stopped
 
     def _size(self, name: str) -> int:
         return int(self.scenario.sizes[name])
 
     # Processes.
 
-    async def start_planner(self, name: str, found: bool = False) -> None:
-        """Starts a planner; it reaches the others through proxies.
+    async def start_planner(self, name: str, bootstrap: bool = False) -> None:
+        """Starts a planner, which reaches the others through proxies.
 
         Args:
             name: Its name.
-            found: Whether it begins the log, as at the fleet's first start.
+            bootstrap: Whether it creates a new log, as at the first start of the fleet.
         """
         addresses = [f"{other}={HOST}:{await self.proxies.port(name, other)}" for other in self.planner_names]
         arguments = {
@@ -64,16 +64,16 @@
             "--data": self.folder / "data" / name / "planner.db",
         }
         self.planners[name] = part = await self.start_process(
-            name, "planner", *_flatten(arguments), *(["--found"] if found else [])
+            name, "planner", *_flatten(arguments), *(["--found"] if bootstrap else [])
         )
         self.proxies.targets[name] = part.port
 
     async def _proxied_planner_addresses(self, name: str) -> str:
-        """Where a process reaches the planners: through proxies."""
+        """Returns the addresses at which a process reaches the planners through proxies."""
         return ",".join([f"{HOST}:{await self.proxies.port(name, other)}" for other in self.planner_names])
 
     async def start_node(self, name: str, cell: int, cold: bool = True) -> Part:
-        """Starts a node; edges reach it through a proxy."""
+        """Starts a node, which edges reach through a proxy."""
         arguments = {
             "--deployment": self.file,
             "--name": name,
@@ -91,7 +91,7 @@
         return part
 
     async def start_edge(self, number: int, port: int = 0) -> Part:
-        """Starts an edge, on the port that it had before where one is given."""
+        """Starts an edge; `port` is its former port for a restart."""
         name = f"{EDGE}{number}"
         arguments = {
             "--listen": f"{HOST}:{port}",
@@ -104,7 +104,7 @@
         return self.edges[number]
 
     async def start(self, nodes: int, edges: int) -> None:
-        """Starts everything, nodes warm, and waits until every edge serves under the policy."""
+        """Starts all parts, nodes warm, and waits until every edge serves under the policy."""
         self.cells = nodes
         await asyncio.gather(*(self.start_planner(name, True) for name in self.planner_names))
         await asyncio.gather(*(self.start_node(f"{NODE}{cell}", cell, cold=False) for cell in range(nodes)))
@@ -118,7 +118,7 @@
         return any(row["serves"] and not row["narrow"] for row in rows)
 
     async def stop(self) -> None:
-        """Ends everything, also what was stopped."""
+        """Resumes and stops all processes, and closes the proxies."""
         for parts in (self.edges.values(), self.nodes.values(), self.planners.values()):
             for part in parts:
                 if part.process.returncode is None:
@@ -128,13 +128,13 @@
 
     @property
     def planner_addresses(self) -> tuple[tuple[str, int], ...]:
-        """The planners' addresses, as operators use them."""
+        """The planners' own addresses, for operators."""
         return tuple((HOST, part.port) for part in self.planners.values())
 
     # Recordings.
 
     def _rows_of(self, part: Part) -> list[Row]:
-        """What a process recorded so far."""
+        """Returns the rows that a process has recorded so far."""
         path = self.folder / "records" / (part.log.stem + ".jsonl")
         lines = path.read_bytes().splitlines(keepends=True) if path.exists() else ()
         return [json.loads(line) for line in lines if line.endswith(b"\n")]
@@ -143,25 +143,25 @@
         return [row for row in self._rows_of(edge) if row["kind"] == "goes_by"]
 
     def applied_commands(self) -> list[Row]:
-        """The commands that any planner applied."""
+        """Returns the recorded commands that planners have applied."""
         rows = (row for part in self.planners.values() for row in self._rows_of(part))
         return [row for row in rows if row["kind"] == "decided"]
 
     async def _leader(self) -> str:
-        """The planner that leads."""
+        """Waits for a leader among the planners; returns its name."""
         for _ in range(LEADER_POLLS):
             for name, part in self.planners.items():
-                if part.process.returncode is None and self._believes_to_lead(part):
+                if part.process.returncode is None and self._claims_leadership(part):
                     return name
             await asyncio.sleep(POLL_INTERVAL)
-        raise TimeoutError("no planner leads")
+        raise TimeoutError("no planner became leader")
 
-    def _believes_to_lead(self, planner: Part) -> bool:
+    def _claims_leadership(self, planner: Part) -> bool:
         rows = [row for row in self._rows_of(planner) if row["kind"] == "leads"]
         return bool(rows) and rows[-1]["leads"]
 
     def is_settled(self) -> bool:
-        """Whether every running edge applies the version decided last, and no change is under way."""
+        """Whether every running edge applies the last decided version, and no change is staged."""
         applied = sorted(self.applied_commands(), key=lambda row: row["index"])
         if not applied or applied[-1]["staged"]:
             return False
@@ -176,9 +176,9 @@
     # Names in steps.
 
     async def _resolve(self, word: str) -> str:
-        """The process that a word means.
+        """Returns the name of the process that a word means.
 
-        `last` waits for what is to be killed first, on a busy machine later than its start.
+        `last` waits for a kill, because on a busy machine the step that kills may run late.
         """
         if word == "leader":
             return await self._leader()
@@ -188,7 +188,7 @@
             if self.killed:
                 return self.killed[-1]
             await asyncio.sleep(POLL_INTERVAL)
-        raise TimeoutError("nothing was killed that could be started")
+        raise TimeoutError("no process was killed")
 
     def _part(self, name: str) -> Part:
         for parts in (self.planners, self.nodes):
@@ -201,7 +201,7 @@
         return [name for word in words.split(",") for name in matching_names(word, known)]
 
     def _disk(self, name: str) -> list[Path]:
-        """What a process has on its disk."""
+        """Returns the files and folders of a process's data."""
         data = self.folder / "data"
         if name.startswith(NODE):
             return [data / f"{name}.db", data / f"{name}.db-wal"]
@@ -210,7 +210,7 @@
     # Verbs.
 
     async def run_step(self, step: Step) -> None:
-        """Carries out a step, and records it."""
+        """Records and runs a step."""
         self.record("deed", verb=step.verb, words=step.words)
         await getattr(self, f"_do_{step.verb}")(*step.words)
 
@@ -248,7 +248,7 @@
         await part.process.wait()
 
     async def _do_image(self, name: str) -> None:
-        """Copies what a disk holds now, as an image that may be put back."""
+        """Copies a process's data to an image, with which it may be started later."""
         for path in self._disk(name):
             if path.exists():
                 image = self.folder / "images" / path.name
@@ -257,7 +257,7 @@
                 _copy(path, image)
 
     async def _do_start(self, word: str, disk: str = "") -> None:
-        """Starts what was killed, on its disk as it is, on an image, an empty or a torn one."""
+        """Starts a killed process on its disk as it is, on an image, on an empty disk or with a torn log."""
         name = await self._resolve(word)
         self.killed = [other for other in self.killed if other != name]
         for path in self._disk(name):
@@ -286,7 +286,7 @@
             part.process.send_signal(signal.SIGCONT)
 
     async def _do_full(self, name: str, seconds: str) -> None:
-        """An edge's disk takes nothing: what it would write first is in the way."""
+        """Makes an edge's writes fail: a folder has the name of the temporary file that it writes first."""
         obstacle = self.folder / "data" / name / "policy.kept.new"
         obstacle.mkdir()
         await asyncio.sleep(float(seconds))
@@ -334,7 +334,7 @@
 
 
 def _flatten(arguments: dict[str, Any]) -> list[Any]:
-    """Options and their values as words of a command line."""
+    """Returns options and their values as command line arguments."""
     return [word for option in arguments.items() for word in option]
 
 
@@ -342,9 +342,9 @@
     return int(name.removeprefix(kind))
 
 
-def _set_value(raw: dict, place: str, value: Any) -> None:
-    """Sets a value of a deployment file by its place."""
-    *inner, last = place.strip("/").split("/")
+def _set_value(raw: dict, path: str, value: Any) -> None:
+    """Sets a value of a deployment by its path, such as `/plans/basico/limit`."""
+    *inner, last = path.strip("/").split("/")
     target = raw
     for step in inner:
         target = target[int(step)] if isinstance(target, list) else target.setdefault(step, {})
--- a/rushmux/standins/script.py
+++ b/rushmux/standins/script.py
@@ -1,4 +1,4 @@
-"""The notation of scripted days: lines of text to events (see days/bad.txt)."""
+"""The notation of scripted days (see days/bad.txt)."""
 
 from collections.abc import Sequence
 from os import PathLike
@@ -8,15 +8,15 @@
 DAYS = Path(__file__).with_name("days")
 MAX_LINES = 10_000
 FIELDS = {"size": "size", "times": "size", "for": "seconds"}
-"""Words that state a field of an event, and the field."""
+"""Keywords of the notation, with the fields of an event that they set."""
 
 
 class ScriptError(Exception):
-    """A line that is no event; the text names it."""
+    """A line is invalid, or the script cannot be read; the text quotes the line or the path."""
 
 
 class Event(NamedTuple):
-    """One thing that happens; times in seconds."""
+    """An event of a day; times in seconds."""
 
     at: float
     verb: str
@@ -27,14 +27,14 @@
 
 
 class Script(NamedTuple):
-    """A day: its length and its events in order of time."""
+    """A day: its length in seconds, and its events in order of time."""
 
     length: float
     events: tuple[Event, ...]
 
 
 def _parse_event(words: Sequence[str]) -> Event | None:
-    """The event that the words behind `at` state; None: they state none."""
+    """Returns the event that the words after `at` state, or None."""
     at, verb, target, *rest = words
     event = Event(float(at), verb, target)
     if verb in ("kill", "start") and not rest:
@@ -51,7 +51,7 @@
 
 
 def _parse_length(words: Sequence[str]) -> float | None:
-    """The length that a line states; None: it states none."""
+    """Returns the length that a line states, or None."""
     match words:
         case ["length", seconds]:
             return float(seconds)
@@ -59,10 +59,10 @@
 
 
 def parse(text: str, source: str = "script") -> Script:
-    """The day that a text states.
+    """Parses the text of a day.
 
     Raises:
-        ScriptError: A line means nothing, or there is no length; with the line and what is wrong in it.
+        ScriptError: A line is invalid, or there is no length; the text quotes the line with the reason.
     """
     length, events = 0.0, []
     for number, line in enumerate(text.splitlines()[:MAX_LINES], 1):
@@ -74,20 +74,20 @@
             stated_length = _parse_length(words)
             event = _parse_event(words[1:]) if words[0] == "at" else None
         except (ValueError, KeyError) as error:
-            raise ScriptError(f"{place}: {error} is out of place") from error
+            raise ScriptError(f"{place}: invalid value or keyword: {error}") from error
         if stated_length is not None:
             length = stated_length
         elif event is not None:
             events.append(event)
         else:
-            raise ScriptError(f"{place}: no event of this form")
+            raise ScriptError(f"{place}: unknown form of line")
     if not length:
-        raise ScriptError(f"{source}: the length is not stated")
+        raise ScriptError(f"{source}: the length is missing")
     return Script(length, tuple(sorted(events, key=lambda event: event.at)))
 
 
 def load(name: str | PathLike[str]) -> Script:
-    """A day of the collection by its name, or a file by its path.
+    """Loads a day of the collection by its name, or a file by its path.
 
     Raises:
         ScriptError: The file can't be read, or as `parse`.
--- a/rushmux/standins/service_model.py
+++ b/rushmux/standins/service_model.py
@@ -1,7 +1,6 @@
-"""The service time of a stand-in node: cores, queue, slow start, pauses, deferred work of writes.
+"""A model of a node's service times: cores, queue, slow start, pauses and deferred work of writes.
 
-It says when an attempt's work is done; it does none itself.  Random draws come from the generator handed
-in, the time from the loop.
+It determines when an attempt ends and does no work itself.  Its random generator and its clock are arguments.
 """
 
 import asyncio
@@ -13,74 +12,74 @@
 from rushmux.scheduling.driver import NEVER, TICKS_PER_SECOND
 
 NEIGHBOUR_PERIOD = 1.0
-"""Seconds that a noisy neighbour on the machine runs, and then rests."""
+"""Seconds for which a noisy neighbour alternately runs and pauses."""
 SERVICE_TIME_SIGMA = 0.3
-"""Of the lognormal draw of a service time around its mean."""
+"""The sigma of the lognormal distribution of service times."""
 SERVICE_TIME_WEIGHT = 8
-"""One over the weight of the newest service time in the running mean."""
+"""The reciprocal of the newest service time's weight in the moving average."""
 
 OnDone = Callable[[bool], None]
-"""Called when an attempt's work is over; True: it was dropped for its timeout."""
+"""Called at the end of an attempt; the argument is whether it was dropped at its timeout."""
 
 
 class Clock(Protocol):
-    """The part of an event loop that the model needs."""
+    """The methods of an event loop that the model uses."""
 
     def time(self) -> float:
-        """Seconds."""
+        """Returns the time, seconds."""
 
     def call_later(self, delay: float, callback: Callable, *arguments: object) -> asyncio.TimerHandle:
-        """Calls back after so many seconds."""
+        """Calls back after a delay."""
 
     def call_at(self, when: float, callback: Callable, *arguments: object) -> asyncio.TimerHandle:
         """Calls back at a time."""
 
     def call_soon(self, callback: Callable, *arguments: object) -> asyncio.Handle:
-        """Calls back in the next turn."""
+        """Calls back in the next iteration."""
 
 
 class Shape(NamedTuple):
-    """A machine; times in seconds, work in units.  Experiments of the laboratory state these fields."""
+    """A machine; times in seconds, work in units.  Experiment files use these field names."""
 
     cores: int = 2
-    unit: float = 0.015  # seconds of a core for a unit of work at speed 1
+    unit: float = 0.015  # time of a core for a unit of work at speed 1
     speed: float = 1.0
-    room: int = 40  # attempts that wait; beyond it they are rejected
-    cold_start: float = 0.17  # part of the capacity at the start
+    room: int = 40  # length of the queue; further attempts are rejected
+    cold_start: float = 0.17  # share of the capacity at the start
     warm_within: float = 16.0
-    fall_multiple: float = 2.5  # of the present capacity, sent for `cold_span`, overloads it
+    fall_multiple: float = 2.5  # load over `cold_span`, relative to the present capacity, that overloads it
     cold_span: float = 2.0
     pause_every: tuple[float, float] = (3.0, 8.0)
     pause: tuple[float, float] = (0.03, 0.12)
-    recent: int = 3  # keys whose work is cheaper
-    saved: float = 0.5  # part of the work saved then
-    put_off: float = 0.3  # part of a write's work done later, in one go
+    recent: int = 3  # number of recent keys whose work is cheaper
+    saved: float = 0.5  # share of the work saved for a recent key
+    put_off: float = 0.3  # share of a write's work that is deferred and done in batches
     put_off_every: tuple[float, float] = (1.5, 3.5)
-    crowd: float = 0.0  # of its speed lost for each attempt that waits: machines thrash
-    most_crowd: float = 3.0  # times longer at most for that
+    crowd: float = 0.0  # slowdown for each queued attempt, as of a machine that thrashes
+    most_crowd: float = 3.0  # largest factor of that slowdown
 
 
 class Work(NamedTuple):
-    """An attempt's work."""
+    """The work of an attempt."""
 
     seconds: float
-    deadline: float  # when it is dropped if it still waits
+    deadline: float  # dropped then if it is still queued
     on_done: OnDone
 
 
 class LoadSample(NamedTuple):
-    """What a node reports of its load."""
+    """The load that a node reports."""
 
-    queue: int  # attempts that wait
+    queue: int  # number of queued attempts
     service: float  # mean of recent service times, ticks
 
 
 class ServiceModel:
-    """One machine from one start.
+    """A machine from its start to its stop.
 
     Attributes:
-        slowdown: Times that work takes longer, for a fault.
-        neighbour_slowdown: The same, for another program on the machine.
+        slowdown: The factor by which a fault prolongs work.
+        neighbour_slowdown: The same for another program on the machine.
     """
 
     def __init__(
@@ -100,7 +99,7 @@
         self._queue: deque[Work] = deque()
         self._running = 0
         self._recent_keys: OrderedDict[str, bool] = OrderedDict()
-        self._arrivals: deque[tuple[float, float]] = deque()  # time and units, within the overload window
+        self._arrivals: deque[tuple[float, float]] = deque()  # (time, units) within the overload window
         self._arrived_units = 0.0
         self._paused_until = 0.0
         self._deferred_seconds = 0.0
@@ -125,17 +124,17 @@
         self._schedule("deferred", self.shape.put_off_every, self._run_deferred)
 
     def _capacity(self, at: float) -> float:
-        """Part of the full capacity at a time."""
+        """Returns the share of the full capacity at a time."""
         age = max(0.0, at - self._started_at)
         initial = self.shape.cold_start
         return min(1.0, initial + (1 - initial) * age / self.shape.warm_within)
 
     def units_per_second(self) -> float:
-        """Units that a warm machine serves in a second."""
+        """Returns the capacity of the warm machine."""
         return self.shape.cores * self.shape.speed / self.shape.unit
 
     def _is_overloaded_by(self, units: float, now: float) -> bool:
-        """Counts what was sent to a cold machine; whether that overloads it."""
+        """Counts units sent to a cold machine; returns whether they overload it."""
         window = self.shape.cold_span
         if now - self._started_at >= self.shape.warm_within + window:
             return False
@@ -143,30 +142,30 @@
         self._arrived_units += units
         while self._arrivals[0][0] <= now - window:
             self._arrived_units -= self._arrivals.popleft()[1]
-        bearable = self.shape.fall_multiple * self._capacity(now) * self.units_per_second() * window
-        return self._arrived_units > bearable
+        limit = self.shape.fall_multiple * self._capacity(now) * self.units_per_second() * window
+        return self._arrived_units > limit
 
     @property
     def in_flight(self) -> int:
-        """Attempts that run or wait."""
+        """The number of running and queued attempts."""
         return self._running + len(self._queue)
 
     def load_sample(self) -> LoadSample:
-        """The load now."""
+        """Returns the current load."""
         return LoadSample(len(self._queue), self._mean_service_time * TICKS_PER_SECOND)
 
     def submit(self, units: float, key: str, is_write: bool, timeout: float, on_done: OnDone) -> bool:
-        """Takes an attempt's work.
+        """Queues the work of an attempt.
 
         Args:
-            units: Size of the work.
-            key: What it touches; work on a recent key is cheaper. Empty: nothing that is remembered.
-            is_write: Whether a part of it is deferred.
-            timeout: Seconds after which it is dropped if it still waits.
-            on_done: Called when the work is over.
+            units: The amount of work.
+            key: The key that it accesses, or empty; work on a recent key is cheaper.
+            is_write: Whether a part of the work is deferred.
+            timeout: Seconds after which it is dropped if it is still queued.
+            on_done: Called when the work ends.
 
         Returns:
-            Whether it was taken; an overloaded machine calls `on_overload` and takes no more.
+            Whether it was accepted; an overloaded machine calls `on_overload` and accepts no more.
         """
         now = self._loop.time()
         if self._is_overloaded_by(units, now):
@@ -180,7 +179,7 @@
         return True
 
     def _draw_seconds(self, units: float, key: str, is_write: bool) -> float:
-        """Seconds of a core for an attempt; what a write defers is put down."""
+        """Draws an attempt's time on a core; the part that a write defers is added to the deferred work."""
         seconds = units * self.shape.unit / self.shape.speed
         seconds *= self._rng.lognormvariate(-(SERVICE_TIME_SIGMA**2) / 2, SERVICE_TIME_SIGMA)
         if key in self._recent_keys:
@@ -199,7 +198,7 @@
             self._recent_keys.popitem(last=False)
 
     def cancel(self, on_done: OnDone) -> bool:
-        """Drops what was submitted with `on_done`; False: it no longer waits."""
+        """Removes the work submitted with `on_done` from the queue; returns whether it was queued."""
         for work in self._queue:
             if work.on_done is on_done:
                 self._queue.remove(work)
@@ -230,7 +229,7 @@
         self._run_queue()
 
     def stop(self) -> None:
-        """Ends the machine: nothing that it holds is done any more."""
+        """Stops the machine: it drops all its work."""
         self._stopped = True
         self._queue.clear()
         for timer in self._timers.values():
@@ -244,14 +243,14 @@
     until: float,
     active: bool = True,
 ) -> None:
-    """Runs another program on a machine by turns, until a time.
+    """Runs another program on a machine in every other period, until a time.
 
     Args:
-        clock: Whose time counts.
-        current_model: The machine's model by then; a restart replaces it.
-        slowdown: Times that the machine's work takes longer while the program runs.
-        until: When it ends, seconds.
-        active: Whether it runs in the first turn.
+        clock: The clock.
+        current_model: Returns the machine's current model, which a restart replaces.
+        slowdown: The factor by which the machine's work takes longer while the program runs.
+        until: The end, seconds.
+        active: Whether it runs in the first period.
     """
     now = clock.time()
     current_model().neighbour_slowdown = slowdown if active and now < until else 1.0
--- a/rushmux/standins/store.py
+++ b/rushmux/standins/store.py
@@ -1,6 +1,6 @@
-"""What a stand-in node stores: objects and rows of names, in an embedded database (SQLite).
+"""The store of a stand-in node: objects and rows of names, in a SQLite database.
 
-Several changes go into one commit; a caller learns of its change only after that commit.
+A commit covers several changes; the node answers them only after it.
 """
 
 import sqlite3
@@ -12,9 +12,9 @@
 
 FORMAT = 1
 MAX_ROWS = 1_000
-"""Rows in one reply, whatever was asked for."""
+"""The most rows in a reply, for any request."""
 MAX_REPLY_BYTES = 700_000
-"""Bytes of rows in one reply: a frame holds a megabyte."""
+"""The most bytes of rows in a reply; a frame holds at most a megabyte."""
 ROOT_ID = "0"
 SCHEMA = """
 create table if not exists about (name text primary key, value) without rowid;
@@ -28,11 +28,11 @@
 
 
 class StoreError(Exception):
-    """A file that is no store of this format, or belongs to another cell."""
+    """A file cannot be opened, has another format or belongs to another cell."""
 
 
 class DiskFullError(Exception):
-    """What was to be written does not fit."""
+    """The data to be written does not fit."""
 
 
 class Row(NamedTuple):
@@ -44,16 +44,16 @@
 
 
 class Store:
-    """One node's disk.
+    """The disk of a node.
 
     Attributes:
-        fencing_floor: The oldest policy version whose attempts run here.
-        version: Of the row that was changed last.
+        fencing_floor: Attempts of edges that know only older policy versions are rejected.
+        version: The version of the row changed last.
 
     Args:
-        path: The database's file, or ":memory:".
+        path: The database file, or ":memory:".
         cell: The cell whose data it holds.
-        limit: Its size, bytes.
+        limit: Its capacity, bytes.
         window: Seconds for which the mark of a change is recognized.
         sync: Whether each commit waits for the disk.
 
@@ -63,19 +63,19 @@
 
     def __init__(self, path: str | PathLike[str], cell: int, limit: int, window: float, sync: bool = False):
         self.limit, self.window = limit, window
-        known = self._open(path, sync)
-        if known.get("format", FORMAT) != FORMAT:
-            raise StoreError(f"{path}: format {known['format']}; this program reads {FORMAT}")
-        if known.get("cell", cell) != cell:
-            raise StoreError(f"{path}: holds cell {known['cell']}, not {cell}")
+        metadata = self._open(path, sync)
+        if metadata.get("format", FORMAT) != FORMAT:
+            raise StoreError(f"{path}: format {metadata['format']}, this program reads {FORMAT}")
+        if metadata.get("cell", cell) != cell:
+            raise StoreError(f"{path}: the store belongs to cell {metadata['cell']}, not {cell}")
         self.database.executemany(
             "insert or replace into about values (?, ?)", [("format", FORMAT), ("cell", cell)]
         )
-        self.fencing_floor = known.get("floor", 0)
+        self.fencing_floor = metadata.get("floor", 0)
         self._load_counts()
 
     def _open(self, path: str | PathLike[str], sync: bool) -> dict:
-        """Opens the database; what it says about itself."""
+        """Opens the database; returns its metadata."""
         try:
             self.database = sqlite3.connect(path, isolation_level=None)
             self.database.execute("pragma journal_mode = wal")
@@ -86,7 +86,7 @@
             raise StoreError(f"{path}: {error}") from error
 
     def raise_fencing_floor(self, version: int) -> None:
-        """Stores a floor, by itself or with the changes under way."""
+        """Stores a new floor, within the current transaction if there is one."""
         self.fencing_floor = version
         self.database.execute("insert or replace into about values ('floor', ?)", (version,))
 
@@ -98,23 +98,23 @@
         self.used = objects + rows
 
     def roll_back(self) -> None:
-        """Forgets what was not committed, as a disk does whose process was killed."""
+        """Discards uncommitted changes, as the kill of a process does."""
         if self.database.in_transaction:
             self.database.execute("rollback")
         self._load_counts()
 
     @property
     def free(self) -> int:
-        """Bytes that still fit."""
+        """The number of free bytes."""
         return max(0, self.limit - self.used)
 
     def begin(self) -> None:
-        """Starts a transaction, if none is under way."""
+        """Starts a transaction, if there is none."""
         if not self.database.in_transaction:
             self.database.execute("begin immediate")
 
     def commit(self) -> None:
-        """Commits the transaction under way."""
+        """Commits the current transaction."""
         if self.database.in_transaction:
             self.database.execute("insert or replace into about values ('version', ?)", (self.version,))
             self.database.execute("commit")
@@ -125,22 +125,22 @@
         self.database.close()
 
     def read(self, request: messages.ReadObject) -> messages.Outcome:
-        """A part of an object."""
-        found = self.database.execute(
+        """Reads a part of an object."""
+        result = self.database.execute(
             "select data, crc from objects where name = ?", (request.object,)
         ).fetchone()
-        if found is None:
+        if result is None:
             return messages.Outcome(code=messages.MISSING)
-        data, crc = found
+        data, crc = result
         if zlib.crc32(data) != crc:
-            return messages.Outcome(code=messages.FAILED, error="the object is damaged on disk")
+            return messages.Outcome(code=messages.FAILED, error="the object is corrupt on disk")
         part = data[request.offset : request.offset + request.length]
         return messages.Outcome(data=part, crc=zlib.crc32(part))
 
     def write(self, request: messages.WriteObject) -> messages.Outcome:
-        """Stores an object; an earlier attempt of the same operation may have stored it already."""
+        """Stores an object, unless an earlier attempt of the operation has stored it."""
         if zlib.crc32(request.data) != request.crc:
-            return messages.Outcome(code=messages.FAILED, error="the data came damaged")
+            return messages.Outcome(code=messages.FAILED, error="the data arrived corrupt")
         if self.database.execute("select 1 from objects where name = ?", (request.object,)).fetchone():
             return messages.Outcome()
         self._allocate(len(request.data))
@@ -151,7 +151,7 @@
 
     def _allocate(self, size: int) -> None:
         if size > self.free:
-            raise DiskFullError(f"{size} bytes where {self.free} are free")
+            raise DiskFullError(f"{size} bytes needed, {self.free} free")
         self.used += size
 
     def drop(self, request: messages.DropObjects) -> messages.Outcome:
@@ -163,14 +163,14 @@
         return messages.Outcome()
 
     def row(self, folder: str, key: str) -> Row | None:
-        """A row, if there is one."""
-        found = self.database.execute(
+        """Returns a row, or None."""
+        result = self.database.execute(
             "select key, value, version from rows where folder = ? and key = ?", (folder, key)
         ).fetchone()
-        return Row(*found) if found else None
+        return Row(*result) if result else None
 
     def look(self, folder: str, request: messages.Look) -> messages.Outcome:
-        """The rows that a request names: along a path, by key, and in a range."""
+        """Returns the rows that a request names by path, by key or by range."""
         outcome = messages.Outcome()
         if request.path:
             self._look_up_path(folder, request.path, outcome)
@@ -183,7 +183,7 @@
         return outcome
 
     def _look_up_path(self, folder: str, path: list[str], outcome: messages.Outcome) -> None:
-        """Adds the rows of each name along a path and of its file, up to the first that is missing."""
+        """Adds the rows of each name along a path and of its file, until one is missing."""
         parent = ROOT_ID
         for name in path:
             entry = self.row(folder, f"d/{parent}/{name}")
@@ -195,7 +195,7 @@
             parent = _file_id(entry)
 
     def _look_up_range(self, folder: str, request: messages.Look, outcome: messages.Outcome) -> None:
-        """Adds rows in the order of their keys, as many as fit into a reply."""
+        """Adds the rows of a range in key order, as many as fit into a reply."""
         limit, size = min(request.most or MAX_ROWS, MAX_ROWS), 0
         rows = self.database.execute(
             "select key, value, version from rows where folder = ? and key > ? and key < ? "
@@ -211,12 +211,12 @@
         outcome.more = len(rows) > limit
 
     def change(self, folder: str, request: messages.Change, now: float) -> messages.Outcome:
-        """Changes rows, all or none; a repeat within the window gets the first outcome and no effect.
+        """Changes rows atomically; a repetition within the window only returns the first outcome again.
 
         Args:
-            folder: Whose rows they are.
+            folder: The folder of the rows.
             request: The mark, the checks, and the rows to put and to drop.
-            now: Seconds.
+            now: The time, seconds.
 
         Raises:
             DiskFullError: The rows do not fit; nothing was changed.
@@ -243,7 +243,7 @@
             self._release(folder, key)
             self.database.execute("delete from rows where folder = ? and key = ?", (folder, key))
         for row in request.puts:
-            self.version += 1  # counted over the whole node: a row made anew never repeats a version
+            self.version += 1  # counted per node, so that a recreated row never reuses a version
             self._release(folder, row.key)
             self.database.execute(
                 "insert or replace into rows values (?, ?, ?, ?)", (folder, row.key, row.value, self.version)
@@ -252,19 +252,19 @@
         return outcome
 
     def _release(self, folder: str, key: str) -> None:
-        """Counts the bytes of a row that is about to go as free."""
+        """Frees the bytes of a row that is about to be removed or replaced."""
         row = self.row(folder, key)
         if row:
             self.used -= len(row.value)
 
     def _holds(self, folder: str, check: messages.Check) -> bool:
-        """Whether what a change was decided on still holds."""
+        """Whether the state that a change was based on still holds."""
         if check.empty_below:
-            found = self.database.execute(
+            result = self.database.execute(
                 "select 1 from rows where folder = ? and key > ? and key < ? limit 1",
                 (folder, check.key, check.empty_below),
             ).fetchone()
-            return found is None
+            return result is None
         row = self.row(folder, check.key)
         if check.exists:
             return row is not None
@@ -272,5 +272,5 @@
 
 
 def _file_id(entry: Row) -> str:
-    """The id of the file that an entry names: the first text of a JSON list."""
+    """Returns the id of a directory entry's file, which is the first string of a JSON list."""
     return entry.value.split(b'"', 2)[1].decode()
--- a/tests/planner/test_fault_injection.py
+++ b/tests/planner/test_fault_injection.py
@@ -12,7 +12,7 @@
 from rushmux.standins.fault_proxy import HOST, FaultProxies
 from rushmux.standins.policy_history_checker import ActivePolicy, check_answers, check_operations
 
-# Those with the most faults; about twenty more are run by hand.
+# The scenarios with the most faults; about twenty more are run by hand.
 SCENARIOS = (
     "leader-at-stage",
     "leader-at-decision",
@@ -42,10 +42,10 @@
 def test_an_invalid_line_of_a_scenario_is_rejected():
     for text, message in (
         ("at 2 explode leader", "no verb 'explode'"),
-        ("wibble", "no line of this form"),
+        ("wibble", "unknown form of line"),
         ("at soon kill leader", "could not convert"),
         ("edges many", "invalid literal"),
-        ("expect down", "no line of this form"),
+        ("expect down", "unknown form of line"),
         ("on propose", "out of range"),
     ):
         with pytest.raises(fault_scenario.ScenarioError, match=message):
