--- a/rushmux/standins/fleet.py
+++ b/rushmux/standins/fleet.py
@@ -61,12 +61,12 @@
 
 
 def dedup_window_of(deployment: Deployment) -> float:
-    """Seconds for which a node recognizes the mark of a change, with a second for delays on the network."""
+    """Returns how long a node recognizes the mark of a change, with a second for network delays."""
     return deployment.settings.request_classes[deployment.roles["change"]].dedup_window / TICKS_PER_SECOND + 1
 
 
 class VirtualFleet(FleetOperations):
-    """The fleet.
+    """A fleet whose parts run in simulated processes.
 
     Attributes:
         records: The recorded events of the stand-ins and edges.
@@ -107,7 +107,7 @@
         return self.rng.getrandbits(48)
 
     async def start(self, nodes: int, edges: int):
-        """Starts all parts, nodes warm, and waits until every edge knows all nodes."""
+        """Starts all parts, with warm nodes, and waits until every edge knows all nodes."""
         if self.planner is not None:
             await self.start_single_planner(nodes)
         else:
--- a/rushmux/standins/processes.py
+++ b/rushmux/standins/processes.py
@@ -110,7 +110,7 @@
         return Part(name, process, announced["port"], log, start=announced.get("start", ""))
 
     async def start(self, nodes: int, edges: int):
-        """Starts all parts, nodes warm, and waits until every edge has an endpoint list."""
+        """Starts all parts, with warm nodes, and waits until every edge has an endpoint list."""
         self.cells = nodes
         await (self.start_single_planner() if self.planner else self.start_list_source())
         await asyncio.gather(*(self.start_node(f"node{cell}", cell, cold=False) for cell in range(nodes)))
--- a/rushmux/standins/scenario_fleet.py
+++ b/rushmux/standins/scenario_fleet.py
@@ -104,7 +104,7 @@
         return self.edges[number]
 
     async def start(self, nodes: int, edges: int) -> None:
-        """Starts all parts, nodes warm, and waits until every edge serves under the policy."""
+        """Starts all parts, with warm nodes, and waits until every edge serves under the policy."""
         self.cells = nodes
         await asyncio.gather(*(self.start_planner(name, True) for name in self.planner_names))
         await asyncio.gather(*(self.start_node(f"{NODE}{cell}", cell, cold=False) for cell in range(nodes)))
--- a/tests/edge/test_hostile.py
+++ b/tests/edge/test_hostile.py
@@ -11,7 +11,7 @@
 
 
 async def send_raw(fleet, *parts, begin=True):
-    """Sends raw bytes over a new connection.
+    """Sends raw bytes over a new connection, after an Init packet if `begin` is set.
 
     Returns the packets received within a second, and whether the connection was closed.
     """
--- a/tests/edge/test_loads.py
+++ b/tests/edge/test_loads.py
@@ -118,7 +118,7 @@
     assert all(service == 0 for service_times, _ in states for service in service_times)
 
 
-def test_a_fault_scenario_with_load_reports_and_a_class_in_order_keeps_every_rule(tmp_path):
+def test_a_day_with_load_reports_and_an_ordered_request_class_keeps_every_rule(tmp_path):
     path = tmp_path / "new.json"
     words = [
         "move",
