--- a/rushmux/lab/__init__.py
+++ b/rushmux/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on emulated fleets: simulations, fault injection, workloads, comparisons and reports."""
+"""Experiments on simulated fleets: workloads, fault injection, comparisons and reports."""
--- a/rushmux/lab/baselines.py
+++ b/rushmux/lab/baselines.py
@@ -1,6 +1,6 @@
-"""Plain schedulers to compare with: each keeps the bound of ten in flight and drains, and no more.
+"""Simple schedulers that experiments compare with; nothing else uses them.
 
-They are baselines of the laboratory only; no program uses them.
+All they respect is each node's in-flight limit and its draining.
 """
 
 from collections import defaultdict
@@ -22,7 +22,7 @@
 
 @dataclass(eq=False, slots=True)
 class QueuedOperation:
-    """An operation, queued or in flight."""
+    """An operation that is queued or in flight."""
 
     op_id: str
     request_class: RequestClass
@@ -34,35 +34,35 @@
     deadline_at: Ticks
     number: int
     node: str | None = None
-    """Where its attempt is in flight."""
+    """The node with its attempt in flight."""
     client_gone: bool = False
 
 
 class Baseline:
-    """Queues operations by cell; a subclass says which goes next, the least of its `order`."""
+    """Queues operations by cell and sends the one with the smallest `sort_key` next."""
 
     def __init__(self, settings, seed, now, actions):
         self.settings, self.actions, self.random = settings, actions, RandomGenerator(seed)
-        self.cells, self.operations = {}, {}
+        self.node_states, self.operations = {}, {}
         self.queues, self.in_flight = defaultdict(dict), defaultdict(int)
         self.numbers, self.served = count(), defaultdict(float)
 
-    def order(self, operation):
-        """What an operation is ordered by: the least goes first."""
+    def sort_key(self, operation):
+        """Returns the sort key of a queued operation; the smallest goes first."""
         raise NotImplementedError
 
     def on_endpoints(self, now, kind, endpoints):
-        """Takes in the endpoint list or updates of it."""
+        """Applies the endpoint list or updates of it."""
         if kind is UpdateKind.SNAPSHOT:
-            self.cells = {}
+            self.node_states = {}
         for endpoint in endpoints:
-            self.cells.setdefault(endpoint.cell, {})[endpoint.node] = endpoint.state
+            self.node_states.setdefault(endpoint.cell, {})[endpoint.node] = endpoint.state
 
     def on_operation(self, now, request):
-        """Queues an operation; a new object goes to any cell."""
+        """Queues an operation; a new object goes to a random cell."""
         request_class, cell = self.settings.request_classes[request.request_class], request.cell
         if cell < 0:
-            cells = list(self.cells)
+            cells = list(self.node_states)
             if not cells:
                 self.actions.shed(request.op_id, 0)
                 return
@@ -82,7 +82,7 @@
         self.operations[request.op_id] = self.queues[cell][request.op_id] = operation
 
     def on_attempt_result(self, now, report):
-        """Gives the final answer of an operation that did not succeed."""
+        """Sheds or fails an operation whose attempt did not succeed; there are no retries."""
         operation = self.operations.pop(report.op_id, None)
         if operation is None:
             return
@@ -96,7 +96,7 @@
             self.actions.fail(report.op_id)
 
     def on_client_gone(self, now, op_id):
-        """Forgets an operation that is queued."""
+        """Drops an operation that is still queued; one in flight gets no answer."""
         operation = self.operations.get(op_id)
         if operation is not None and operation.node is None:
             del self.operations[op_id]
@@ -105,29 +105,31 @@
             operation.client_gone = True
 
     def on_quota(self, now, volume, share):
-        """Limits are the scheduler's."""
+        """Does nothing: baselines enforce no limits."""
 
     def on_route_policies(self, policies):
-        """Route policies are the scheduler's."""
+        """Does nothing: baselines have no route policies."""
 
     def run_round(self, now):
-        """Sheds what is late, sends what may go, and wakes for the next that would be late."""
+        """Sheds late operations, sends others, and wakes when the next one would be late."""
         for cell, queue in self.queues.items():
             self._shed_late(queue, now)
-            self._send(queue, self.cells.get(cell, {}), now)
-        waiting = [operation.objective_at for queue in self.queues.values() for operation in queue.values()]
-        if waiting:
-            self.actions.wake_after(max(1, min(waiting) - now))
+            self._send(queue, self.node_states.get(cell, {}), now)
+        objectives = [
+            operation.objective_at for queue in self.queues.values() for operation in queue.values()
+        ]
+        if objectives:
+            self.actions.wake_after(max(1, min(objectives) - now))
 
     def _shed_late(self, queue, now):
         for operation in [operation for operation in queue.values() if operation.objective_at <= now]:
             del queue[operation.op_id], self.operations[operation.op_id]
             self.actions.shed(operation.op_id, 0)
 
-    def _send(self, queue, nodes, now):
-        ready = [node for node, state in nodes.items() if state is EndpointState.READY]
+    def _send(self, queue, states, now):
+        ready = [node for node, state in states.items() if state is EndpointState.READY]
         while queue and ready and self.in_flight[ready[0]] < MAX_IN_FLIGHT:
-            operation = min(queue.values(), key=self.order)
+            operation = min(queue.values(), key=self.sort_key)
             del queue[operation.op_id]
             operation.node = ready[0]
             self.in_flight[operation.node] += 1
@@ -136,40 +138,40 @@
 
 
 class FirstCome(Baseline):
-    """The first that arrived goes first."""
+    """First come, first served."""
 
-    def order(self, operation):
-        """By arrival."""
+    def sort_key(self, operation):
+        """Sorts by arrival."""
         return operation.number
 
 
-class RandomNext(Baseline):
-    """Any goes."""
+class RandomOrder(Baseline):
+    """Sends a random operation."""
 
-    def order(self, operation):
-        """By chance."""
+    def sort_key(self, operation):
+        """Sorts at random."""
         return self.random.below(1 << 20)
 
 
 class FairShare(Baseline):
-    """The volume that had least for its weight goes first."""
+    """Weighted fair sharing: the volume served least in proportion to its weight goes first."""
 
-    def order(self, operation):
-        """By what the volume had, then by arrival."""
+    def sort_key(self, operation):
+        """Sorts by the service that the volume got, then by arrival."""
         return self.served[operation.volume], operation.number
 
 
 class EarliestDeadline(Baseline):
-    """The nearest latency objective goes first."""
+    """The operation whose latency objective ends first goes first."""
 
-    def order(self, operation):
-        """By objective, then by arrival."""
+    def sort_key(self, operation):
+        """Sorts by the end of the objective, then by arrival."""
         return operation.objective_at, operation.number
 
 
 BASELINES = {
     "first-come": FirstCome,
-    "random": RandomNext,
+    "random": RandomOrder,
     "fair-share": FairShare,
     "earliest-deadline": EarliestDeadline,
 }
--- a/rushmux/lab/compare.py
+++ b/rushmux/lab/compare.py
@@ -1,4 +1,4 @@
-"""Compares variants with the first one on the same seeds: intervals, tests, and a plain conclusion."""
+"""Compares variants with the first one on the same seeds: confidence intervals, tests and a conclusion."""
 
 from collections.abc import Mapping, Sequence
 from enum import StrEnum
@@ -9,17 +9,17 @@
 
 CONFIDENCE = 0.95
 RESAMPLES = 2_000
-MAX_EXACT_PAIRS = 12  # up to which all changes of signs are tried
+MAX_EXACT_PAIRS = 12  # up to this many, all 2**n sign changes are tried
 RESAMPLING_SEED = 7
 MIN_PAIRS = 2
 MIN_VARIANTS = 2
 
 SeedResults = Mapping[str, Mapping[int, Mapping[str, Any]]]
-"""Measures by variant and seed; the others are compared with the first variant."""
+"""Measures by variant and seed; the first variant is the baseline."""
 
 
 class Conclusion(StrEnum):
-    """What a difference says of a variant."""
+    """The conclusion from a difference between variants."""
 
     BETTER = "better"
     WORSE = "worse"
@@ -27,7 +27,7 @@
 
 
 class Difference(NamedTuple):
-    """A variant less the first one, in one measure, over the seeds that both have."""
+    """The mean difference of a variant from the first one in one measure, over the seeds of both."""
 
     variant: str
     measure: str
@@ -36,12 +36,12 @@
     low: float
     high: float
     p_value: float
-    """Of such a mean if there were no difference, corrected for the number of variants."""
+    """Corrected for the number of variants."""
     conclusion: Conclusion
 
 
 class _Paired(NamedTuple):
-    """Differences by seed, before the test."""
+    """A variant's differences from the first one in one measure, one for each seed."""
 
     variant: str
     measure: str
@@ -56,11 +56,11 @@
 
 
 def bootstrap_interval(values: Sequence[float]) -> Interval:
-    """The bootstrap's confidence interval of a mean; the same values always give the same interval."""
+    """Returns the bootstrap confidence interval of the mean; the same values always give the same one."""
     sample = numpy.asarray(values, float)
     if len(sample) < MIN_PAIRS or numpy.ptp(sample) == 0:
         return Interval(float(sample.mean()), float(sample.mean()))
-    found = stats.bootstrap(
+    interval = stats.bootstrap(
         (sample,),
         numpy.mean,
         confidence_level=CONFIDENCE,
@@ -68,15 +68,15 @@
         method="basic",
         rng=numpy.random.default_rng(RESAMPLING_SEED),
     ).confidence_interval
-    return Interval(float(found.low), float(found.high))
+    return Interval(float(interval.low), float(interval.high))
 
 
 def sign_flip_test(values: Sequence[float]) -> float:
-    """The p-value of a mean if each pair's sign were random: exact for few pairs, else by resampling."""
+    """Returns the p-value of the mean under random signs: exact for few pairs, else by resampling."""
     sample = numpy.asarray(values, float)
     if not numpy.any(sample):
         return 1.0
-    found = stats.permutation_test(
+    test = stats.permutation_test(
         (sample, numpy.zeros(len(sample))),
         lambda first, second: numpy.mean(first - second),
         permutation_type="samples",
@@ -84,24 +84,24 @@
         n_resamples=numpy.inf if len(sample) <= MAX_EXACT_PAIRS else RESAMPLES,
         rng=numpy.random.default_rng(RESAMPLING_SEED),
     )
-    return float(found.pvalue)
+    return float(test.pvalue)
 
 
 def holm_correction(p_values: Sequence[float]) -> list[float]:
-    """Corrects p-values of many tests, in the order given.
+    """Returns the p-values of several tests corrected by Holm's method, in the given order.
 
     Holm: A Simple Sequentially Rejective Multiple Test Procedure (1979).
     """
-    order = sorted(range(len(p_values)), key=lambda place: p_values[place])
+    order = sorted(range(len(p_values)), key=lambda index: p_values[index])
     corrected, highest = [0.0] * len(p_values), 0.0
-    for rank, place in enumerate(order):
-        highest = max(highest, min(1.0, p_values[place] * (len(p_values) - rank)))
-        corrected[place] = highest
+    for rank, index in enumerate(order):
+        highest = max(highest, min(1.0, p_values[index] * (len(p_values) - rank)))
+        corrected[index] = highest
     return corrected
 
 
 def differences(results: SeedResults, measures: Sequence[str]) -> list[Difference]:
-    """The differences of all variants from the first one, in the given measures."""
+    """Returns the differences of all variants from the first one in the given measures."""
     pairs = [
         _Paired(variant, measure, values)
         for variant in list(results)[1:]
@@ -113,40 +113,40 @@
 
 
 def _paired_values(results: SeedResults, variant: str, measure: str) -> list[float]:
-    """A variant less the first one, by the seeds that both have."""
+    """Returns the variant's value minus that of the first variant, for each seed that both have."""
     baseline, compared = next(iter(results.values())), results[variant]
     return [compared[seed][measure] - baseline[seed][measure] for seed in baseline if seed in compared]
 
 
 def _corrected_p_values(pairs: Sequence[_Paired], measures: Sequence[str]) -> list[float]:
-    """Corrected within a measure, over the variants: a conclusion is drawn from one measure at a time."""
+    """Returns p-values corrected over the variants of each measure: each measure has its own conclusion."""
     p_values = [sign_flip_test(pair.values) for pair in pairs]
     for measure in measures:
-        places = [place for place, pair in enumerate(pairs) if pair.measure == measure]
-        corrected = holm_correction([p_values[place] for place in places])
-        for place, p_value in zip(places, corrected, strict=True):
-            p_values[place] = p_value
+        indices = [index for index, pair in enumerate(pairs) if pair.measure == measure]
+        corrected = holm_correction([p_values[index] for index in indices])
+        for index, p_value in zip(indices, corrected, strict=True):
+            p_values[index] = p_value
     return p_values
 
 
 def _difference(pair: _Paired, p_value: float) -> Difference:
     interval, mean = bootstrap_interval(pair.values), float(numpy.mean(pair.values))
-    # An interval alone is generous with few pairs: interval and test both must show a difference.
-    is_seen = p_value < 1 - CONFIDENCE and (interval.low > 0 or interval.high < 0)
+    # With few pairs the interval alone is too narrow, so the test must show a difference too.
+    is_significant = p_value < 1 - CONFIDENCE and (interval.low > 0 or interval.high < 0)
     is_better = mean < 0 if lower_is_better(pair.measure) else mean > 0
     conclusion = Conclusion.NONE
-    if is_seen:
+    if is_significant:
         conclusion = Conclusion.BETTER if is_better else Conclusion.WORSE
     return Difference(pair.variant, pair.measure, len(pair.values), mean, *interval, p_value, conclusion)
 
 
 def lower_is_better(measure: str) -> bool:
-    """Whether a measure is a time (in ms) and not a part."""
+    """Returns whether a measure is a time in ms, not a fraction."""
     return measure.endswith("_ms")
 
 
 def is_narrow(results: SeedResults, measure: str, half_width: float) -> bool:
-    """Whether every variant's interval against the first one is narrow enough to stop at."""
+    """Returns whether no variant's interval is wider than `half_width` to either side."""
     for variant in list(results)[1:]:
         values = _paired_values(results, variant, measure)
         if len(values) < MIN_PAIRS:
--- a/rushmux/lab/day.py
+++ b/rushmux/lab/day.py
@@ -1,6 +1,6 @@
-"""From an experiment and a seed to one day: deployment, fleet, arrivals and faults.
+"""Draws a simulated day from an experiment and a seed: deployment, fleet, arrivals and faults.
 
-No clock; the same experiment and seed always give the same day.
+The same experiment and seed always give the same day.
 """
 
 import copy
@@ -20,14 +20,14 @@
 from rushmux.standins.service_model import Shape
 
 EXAMPLE = json.loads(Path(deployments.__file__).with_name("example.json").read_text())
-REQUEST_CLASSES = RequestClasses(read="lectura", write="archivo-nuevo")  # of the example
+REQUEST_CLASSES = RequestClasses(read="lectura", write="archivo-nuevo")  # of `EXAMPLE`
 SCALED_PLAN_FIELDS = ("nominal", "reserve", "limit", "burst", "slack")
-SLOW_START_MARGIN = 0.8  # part of what a node in slow start can do that gateways send it
+SLOW_START_MARGIN = 0.8  # fraction of its capacity that gateways send to a node in slow start
 MS_PER_SECOND = 1_000
 
 
 class Day(NamedTuple):
-    """Everything that a simulation of one day needs."""
+    """The input of the simulation of one day."""
 
     deployment: Deployment
     fleet: Fleet
@@ -36,8 +36,8 @@
 
 
 def build_fleet(experiment: Experiment) -> Fleet:
-    """The fleet that an experiment states."""
-    stated, example = experiment["fleet"], EXAMPLE["fleet"]
+    """Returns the fleet of an experiment."""
+    spec, example = experiment["fleet"], EXAMPLE["fleet"]
     machine = Shape(
         **{
             name: tuple(value) if isinstance(value, list) else value
@@ -51,23 +51,23 @@
         cold_span=example["cold_span_ms"] / MS_PER_SECOND,
     )
     return Fleet(
-        gateway_count=stated["edges"],
-        node_count=stated["nodes"],
-        zone_count=stated["zones"],
+        gateway_count=spec["edges"],
+        node_count=spec["nodes"],
+        zone_count=spec["zones"],
         machine=machine,
-        speed_sigma=stated["unlike"],
-        max_connections=stated["connections"],
+        speed_sigma=spec["unlike"],
+        max_connections=spec["connections"],
     )
 
 
 def fleet_capacity(experiment: Experiment) -> float:
-    """Units a second of all nodes together, none in slow start."""
+    """Returns the units per second of all nodes together after slow start."""
     fleet = build_fleet(experiment)
     return fleet.node_count * fleet.machine.cores * fleet.machine.speed / fleet.machine.unit
 
 
 def draw_volumes(experiment: Experiment, seed: int) -> list[Volume]:
-    """The volumes of a day with what they ask for; of a trace, its own.
+    """Returns the volumes of a day and their rates, drawn or from the trace.
 
     Raises:
         TraceError: The trace cannot be used.
@@ -91,20 +91,20 @@
 
 
 def _trace_volumes(experiment: Experiment, plans: Mapping[str, str]) -> list[Volume]:
-    """The volumes of a trace's header, through all gateways."""
+    """Returns the volumes in a trace's header, each served by all gateways."""
     gateways = tuple(range(experiment["fleet"]["edges"]))
     return [Volume(name, plan, 1.0, (0,), gateways) for name, plan in plans.items()]
 
 
 def build_deployment(experiment: Experiment, variant: Variant, volumes: Sequence[Volume]) -> Deployment:
-    """The deployment of a variant: the example, sized to the fleet and the volumes of the day.
+    """Returns the deployment of a variant: the example, sized to the fleet and the volumes of the day.
 
-    Plans are sized so that the reserves of all volumes together are `reserved` of the fleet's capacity; then
-    the values that experiment and variant set are put in.  It is not verified: the laboratory tries what the
-    verifier would refuse too.
+    Plans are scaled so that all reserves together are `reserved` of the fleet's capacity; then the values of
+    the experiment and the variant are set.  The deployment is not verified: experiments also try those that
+    the verifier rejects.
 
     Raises:
-        DeploymentError: What the variant sets is not a deployment.
+        DeploymentError: The result is not a valid deployment.
     """
     text, fleet = copy.deepcopy(EXAMPLE), build_fleet(experiment)
     _scale_plans(text, experiment, fleet, volumes)
@@ -133,7 +133,7 @@
 
 
 def _slow_start_units(machine: Shape) -> float:
-    """Units that a fleet may send a node in slow start within its span."""
+    """Returns the units that all gateways may send to a node in slow start within `cold_span`."""
     return (
         machine.cores
         * machine.speed
@@ -150,7 +150,7 @@
     Raises:
         TraceError: The trace cannot be used.
         WorkloadError: The day would have too many operations.
-        DeploymentError: What the variant sets is not a deployment.
+        DeploymentError: The variant has no valid deployment.
     """
     fleet, arrivals = build_fleet(experiment), None
     if "trace" in experiment:
@@ -175,7 +175,7 @@
 
 
 def _trace_arrivals(recorded: Sequence[Arrival], fleet: Fleet, seconds: float) -> list[Arrival]:
-    """The arrivals of a trace within the day, at the cells of the fleet."""
+    """Returns the arrivals of a trace within the day, mapped to the cells of the fleet."""
     return [
         arrival._replace(cell=NEW_OBJECT if arrival.is_write else arrival.cell % fleet.node_count)
         for arrival in recorded
--- a/rushmux/lab/errors.py
+++ b/rushmux/lab/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors of the laboratory."""
+"""The base class of all errors of the laboratory."""
 
 
 class LabError(Exception):
-    """Something that the laboratory was given cannot be used; the text says what and why."""
+    """An input of the laboratory cannot be used; the text says which and why."""
--- a/rushmux/lab/experiment.py
+++ b/rushmux/lab/experiment.py
@@ -1,6 +1,6 @@
-"""The text of an experiment: reading it, checking it, and the experiments that its factors make of it.
+"""Reads and checks experiment files and expands their factors.
 
-An experiment is kept as its JSON (`experiment_schema`), checked and with the defaults put in.
+An experiment is kept as its JSON (`experiment_schema`), checked and completed with the defaults.
 """
 
 import copy
@@ -18,27 +18,27 @@
 from rushmux.lab.json_path import set_value
 from rushmux.settings.deployment import DeploymentError
 
-MAX_NAME = 60  # characters of the name of an expanded experiment
+MAX_NAME_LENGTH = 60  # of an expanded experiment
 
 
 class ExperimentProblem(NamedTuple):
-    """One thing that is wrong in the text of an experiment."""
+    """One problem of an experiment."""
 
-    place: str
-    """Where in the JSON, such as `/fleet/edges`."""
+    path: str
+    """JSON pointer of the value, such as `/fleet/edges`."""
     text: str
 
 
 class ExperimentError(LabError):
-    """A text that is no experiment.
+    """The input is not a valid experiment.
 
     Attributes:
         source: The file, or the name of the experiment.
-        problems: Everything that is wrong.
+        problems: All problems found.
     """
 
     def __init__(self, source: str | Path, problems: Sequence[ExperimentProblem]):
-        super().__init__("\n".join(f"{source}: {place}: {text}" for place, text in problems))
+        super().__init__("\n".join(f"{source}: {path}: {text}" for path, text in problems))
         self.source, self.problems = source, list(problems)
 
 
@@ -46,37 +46,37 @@
     """Reads an experiment from a file.
 
     Raises:
-        ExperimentError: The file cannot be read or is no experiment.
+        ExperimentError: The file cannot be read or is not a valid experiment.
     """
     try:
         raw = json.loads(Path(path).read_text())
     except OSError as error:
         raise ExperimentError(path, [ExperimentProblem("/", f"cannot be read: {error.strerror}")]) from error
     except ValueError as error:
-        raise ExperimentError(path, [ExperimentProblem("/", f"is no JSON: {error}")]) from error
+        raise ExperimentError(path, [ExperimentProblem("/", f"is not JSON: {error}")]) from error
     return check(raw, str(path))
 
 
 def check(raw: Any, source: str = "experiment") -> Experiment:
-    """The experiment with its defaults put in.
+    """Returns the experiment completed with the defaults.
 
     Raises:
-        ExperimentError: It is none; the error has all its problems.
+        ExperimentError: It is not valid; the error lists all problems.
     """
-    found = _schema_problems(raw)
-    if found:
-        raise ExperimentError(source, found)
+    problems = _schema_problems(raw)
+    if problems:
+        raise ExperimentError(source, problems)
     experiment = _with_defaults(raw)
-    found = _name_problems(experiment) + _fault_line_problems(experiment)
+    problems = _name_problems(experiment) + _fault_line_problems(experiment)
     volumes: Sequence = ()
     try:
         volumes = day.draw_volumes(experiment, 0)
     except (trace.TraceError, OSError) as error:
-        found.append(ExperimentProblem("/trace", str(error)))
+        problems.append(ExperimentProblem("/trace", str(error)))
     if volumes:
-        found += _variant_problems(experiment, volumes)
-    if found:
-        raise ExperimentError(source, found)
+        problems += _variant_problems(experiment, volumes)
+    if problems:
+        raise ExperimentError(source, problems)
     return experiment
 
 
@@ -102,7 +102,7 @@
     names = [variant["name"] for variant in experiment["variants"]]
     if len(set(names)) == len(names):
         return []
-    return [ExperimentProblem("/variants", f"two of one name: {', '.join(names)}")]
+    return [ExperimentProblem("/variants", f"duplicate names: {', '.join(names)}")]
 
 
 def _fault_line_problems(experiment: Experiment) -> list[ExperimentProblem]:
@@ -114,25 +114,25 @@
 
 
 def _variant_problems(experiment: Experiment, volumes: Sequence) -> list[ExperimentProblem]:
-    found = []
+    problems = []
     for number, variant in enumerate(experiment["variants"]):
         try:
             day.build_deployment(experiment, variant, volumes)
         except (DeploymentError, KeyError, TypeError, IndexError) as error:
-            found.append(ExperimentProblem(f"/variants/{number}", f"its deployment is none: {error}"))
-    return found
+            problems.append(ExperimentProblem(f"/variants/{number}", f"has no valid deployment: {error}"))
+    return problems
 
 
 def expand(experiment: Experiment) -> list[Experiment]:
-    """The experiments that the factors make of one: itself where it states none.
+    """Returns an experiment for each combination of factors; without factors, the experiment itself.
 
     Raises:
         ExperimentError: A factor has a value that the schema does not allow.
     """
     expanded = [experiment]
     for path, values in experiment["factors"].items():
-        expanded = [_with_factor(one, path, value) for one in expanded for value in values]
-    return [check({**one, "factors": {}}, one["name"]) for one in expanded]
+        expanded = [_with_factor(each, path, value) for each in expanded for value in values]
+    return [check({**each, "factors": {}}, each["name"]) for each in expanded]
 
 
 def _with_factor(experiment: Experiment, path: str, value: Any) -> Experiment:
@@ -140,5 +140,5 @@
     set_value(changed, path, value)
     key = path.rsplit("/", 1)[1]
     suffix = re.sub("[^a-z0-9]+", "-", f"{key}-{value}".lower()).strip("-")
-    changed["name"] = f"{experiment['name']}-{suffix}"[:MAX_NAME]
+    changed["name"] = f"{experiment['name']}-{suffix}"[:MAX_NAME_LENGTH]
     return changed
--- a/rushmux/lab/experiment_schema.py
+++ b/rushmux/lab/experiment_schema.py
@@ -1,6 +1,6 @@
-"""The JSON of an experiment: its schema, and the types of its parts once checked.
+"""The JSON schema of experiments, and the types of checked ones.
 
-The keys are those of `experiment.schema.json`, which states bounds and defaults.
+`experiment.schema.json` states the bounds and defaults of the keys.
 """
 
 import json
@@ -11,7 +11,7 @@
 
 
 class FleetSpec(TypedDict):
-    """Size of the emulated fleet."""
+    """Size of the simulated fleet."""
 
     edges: int
     """Gateways."""
@@ -20,36 +20,36 @@
     unlike: float
     """Sigma of the lognormal spread of the machines' speeds."""
     connections: int
-    """Gateways that a node is connected to at most; 0: no bound."""
+    """The most gateways connected to one node; 0: no limit."""
 
 
 class SeedSpec(TypedDict):
-    """Which seeds are run, and when it is enough."""
+    """Which seeds are run, and when to stop."""
 
     first: int
     least: int
-    """Seeds that are run in any case."""
+    """Seeds that are always run."""
     most: int
     narrow: float
-    """Half width of the intervals at which no more seeds are run."""
+    """Half width of the confidence intervals at which no more seeds are run."""
 
 
 class Variant(TypedDict):
-    """One of the schedulers or deployments that an experiment compares."""
+    """A scheduler or deployment that an experiment compares."""
 
     name: str
     decisions: NotRequired[str]
-    """"module" for the scheduler, else the name of a baseline."""
+    """"module" for the scheduler, or the name of a baseline."""
     revision: NotRequired[str]
-    """Of this repository, whose scheduler is run."""
+    """Revision of this repository whose scheduler is run."""
     without: NotRequired[list[list[str]]]
-    """Texts of the scheduler, each with what stands in its place."""
+    """Pairs of a text in the scheduler's source and its replacement."""
     set: NotRequired[dict[str, Any]]
-    """Values of the deployment by their JSON path."""
+    """Values of the deployment by JSON path."""
 
 
 class Experiment(TypedDict):
-    """A checked experiment with its defaults."""
+    """A checked experiment, completed with the defaults."""
 
     name: str
     question: str
@@ -59,18 +59,18 @@
     machine: dict[str, Any]
     """Fields of `standins.service_model.Shape`."""
     volumes: dict[str, int]
-    """Volumes of each plan."""
+    """How many volumes each plan has."""
     reserved: float
-    """Part of the fleet's capacity that all reserves make together."""
+    """Sum of all reserves as a fraction of the fleet's capacity."""
     workload: dict[str, float]
     """See `workload.DEFAULTS`."""
     troubles: list[str]
-    """Faults in the notation of `faults`."""
+    """Fault lines in the notation of `faults`."""
     trace: NotRequired[str]
-    """The file of a trace in place of drawn arrivals."""
+    """The file of a trace that replaces drawn arrivals."""
     factors: dict[str, list]
-    """Values by their JSON path; every combination is an experiment of its own."""
+    """Lists of values by JSON path; every combination is an experiment of its own."""
     set: dict[str, Any]
-    """Values of the deployment for all variants, by their JSON path."""
+    """Values of the deployment for all variants, by JSON path."""
     variants: list[Variant]
     seeds: SeedSpec
--- a/rushmux/lab/fault_injector.py
+++ b/rushmux/lab/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a day on the nodes, gateways and endpoint updates of a scheduler simulation."""
+"""Injects the faults of a day into the nodes, gateways and endpoint updates of a scheduler simulation."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -20,8 +20,8 @@
 class FaultInjector:
     """Starts the faults of a simulation and ends them after their duration.
 
-    Kinds that only shape the workload (surges, hot keys and the like) have no handler: `workload` draws
-    them into the arrivals.
+    Kinds that only change the workload, such as surges and hot keys, have no handler: `workload` applies
+    them to the arrivals.
     """
 
     def __init__(self, simulation: "SchedulerSimulation"):
@@ -43,7 +43,7 @@
         }
 
     def inject(self, event: FaultEvent) -> None:
-        """Starts a fault on all its targets, and sets the timers that end it."""
+        """Starts a fault on all its targets and sets timers to end it."""
         handler = self._handlers.get(event.kind)
         if handler is None:
             return
@@ -53,7 +53,7 @@
                 self.clock.call_later(event.duration, end)
 
     def _target(self, target: str | int) -> SimulatedGateway | SimulatedNode | None:
-        """A gateway by its number or a node by its name; None for the endpoint list."""
+        """Returns the gateway of a number or the node of a name; None for the endpoint list."""
         if isinstance(target, int):
             return self.simulation.gateways[target]
         return self.simulation.nodes.get(target)
@@ -80,7 +80,7 @@
 
     def _start_slowness(self, event: FaultEvent, node: SimulatedNode) -> EndFault:
         node.service_model.slowdown = event.size
-        # A restart in between gives the node another service model, which is not slow.
+        # After a restart the node has a new service model, which is not slow.
         return lambda: setattr(node.service_model, "slowdown", 1.0)
 
     def _start_noisy_neighbour(self, event: FaultEvent, node: SimulatedNode) -> None:
@@ -119,7 +119,7 @@
         self.simulation.publish_state(node, EndpointState.READY)
 
     def _replace_node(self, node: SimulatedNode) -> None:
-        """The data of a drained node goes on at a new machine in slow start."""
+        """Moves the data of a drained node to a new machine, which begins in slow start."""
         if node.alive:
             node.stop()
         self._start_node(node)
--- a/rushmux/lab/faults.py
+++ b/rushmux/lab/faults.py
@@ -1,10 +1,10 @@
-"""The notation of faults: lines with ranges, from which a seed draws events.
+"""The notation of faults: lines with ranges, from which events are drawn with a seed.
 
     KIND TARGET [size A..B] at A..B [for A..B]
 
-One number stands for a range of one.  TARGET: `node` (one drawn), `nodes N%` or `nodes N` (so many
-drawn), `zone` (all nodes of one drawn), `edge`, `edges N`, `lists`, `volume`, `plan NAME`, `all`.
-`#` begins a comment.
+A single number is a range with that number only.  TARGET: `node` (one, drawn), `nodes N%` or `nodes N`
+(so many, drawn), `zone` (all nodes of a drawn one), `edge`, `edges N` (gateways), `lists` (endpoint lists),
+`volume`, `plan NAME`, `all` (volumes).  `#` begins a comment.
 """
 
 import random
@@ -15,49 +15,49 @@
 from rushmux.lab.errors import LabError
 
 MAX_LINES = 200
-MAX_NUMBER = 1e6  # numbers of a range are below it
+MAX_NUMBER = 1e6  # exclusive upper bound of all numbers
 
 
 class FaultKind(StrEnum):
-    """What can go wrong; the values are the words of the notation."""
+    """Kinds of faults; the values are the words of the notation."""
 
     SILENT = "silent"
-    """Nodes take attempts and do not answer."""
+    """Nodes accept attempts and do not answer."""
     SLOW = "slow"
     """Work takes `size` times as long."""
     ERRORS = "errors"
-    """`size` is the part of the attempts that fail."""
+    """A fraction `size` of the attempts fail."""
     MESSAGE_LOSS = "lost"
-    """`size` is the part of the messages that get lost."""
+    """A fraction `size` of the messages get lost."""
     CONNECTION_RESET = "resets"
     NOISY_NEIGHBOUR = "neighbour"
-    """Work takes `size` times as long, on and off every second."""
+    """Work takes `size` times as long, in turns of one second on and one second off."""
     NODE_RESTART = "restart"
     """Nodes are down for the duration and come back in slow start."""
     DRAIN = "drain"
     """Nodes drain one after the other, `size` seconds apart."""
     PARTITION = "cut"
-    """No connection to the rest of the fleet."""
+    """A gateway or zone has no connection to the rest of the fleet."""
     DISCOVERY_LAG = "lag"
-    """Updates of the endpoint list come `size` seconds late."""
+    """Updates of the endpoint list are `size` seconds late."""
     USAGE_REPORT_LOSS = "reports"
-    """Answers do not tell of the usage at other gateways."""
+    """Nodes' answers omit the usage at other gateways."""
     GATEWAY_CRASH = "die"
     """Gateways are down for the duration and come back with no state."""
     GATEWAY_PAUSE = "still"
-    """Gateways do not run for the duration."""
+    """Gateway processes are paused for the duration."""
     SHORT_DEADLINE = "hurried"
-    """Clients wait for `size` of the deadline."""
+    """Clients wait for a fraction `size` of the deadline."""
     LOAD_SURGE = "surge"
-    """Rates are `size` times as high."""
+    """Request rates are `size` times as high."""
     HOT_KEY = "hot"
-    """`size` is the part of the accesses that go to one key."""
+    """A fraction `size` of the accesses go to one key."""
     LARGE_OPERATIONS = "scan"
     """Operations are `size` times as large."""
 
 
 class FaultSyntax(NamedTuple):
-    """What a line of a kind may and must state."""
+    """The targets and fields of a line, by its kind."""
 
     targets: tuple[str, ...]
     has_size: bool = True
@@ -90,20 +90,20 @@
 
 
 class FaultError(LabError):
-    """A line that is not in the notation, or too many lines.
+    """A line is not in the notation, or there are too many lines.
 
     Attributes:
-        place: Source and line, for the message.
+        location: Source and line.
         reason: What is wrong there.
     """
 
-    def __init__(self, place: str, reason: str):
-        super().__init__(f"{place}: {reason}")
-        self.place, self.reason = place, reason
+    def __init__(self, location: str, reason: str):
+        super().__init__(f"{location}: {reason}")
+        self.location, self.reason = location, reason
 
 
 class Range(NamedTuple):
-    """A range of numbers that a seed draws from."""
+    """A range of numbers to draw from."""
 
     low: float
     high: float
@@ -121,12 +121,12 @@
     """Count, percentage or plan; "" where the target has none."""
     size: Range
     at: Range
-    """Seconds from the begin of the day."""
+    """Seconds since the start of the day."""
     duration: Range
     """Seconds."""
 
     def text(self) -> str:
-        """The line in the notation."""
+        """Returns the line in the notation."""
         syntax = SYNTAX[self.kind]
         words = [self.kind, self.target]
         if self.target_argument:
@@ -140,44 +140,44 @@
 
 
 class FaultEvent(NamedTuple):
-    """What a seed drew from a line."""
+    """A fault drawn from a line."""
 
     at: float
-    """Seconds from the begin of the day."""
+    """Seconds since the start of the day."""
     kind: FaultKind
     targets: tuple
-    """Names of nodes or volumes, numbers of gateways."""
+    """Names of nodes or volumes, or numbers of gateways."""
     size: float
     duration: float
     """Seconds."""
 
 
 def parse(lines: Sequence[str], source: str = "troubles") -> list[FaultLine]:
-    """Reads lines of the notation; comments and blank lines are skipped.
+    """Parses lines of the notation; comments and blank lines are skipped.
 
     Raises:
         FaultError: A line is not in the notation, or there are too many.
     """
     if len(lines) > MAX_LINES:
         raise FaultError(source, f"{len(lines)} lines, at most {MAX_LINES}")
-    found = []
+    parsed = []
     for number, text in enumerate(lines, 1):
         words = text.split("#")[0].split()
         if words:
-            found.append(_parse_line(words, f"{source}, line {number}: {text.strip()}"))
-    return found
+            parsed.append(_parse_line(words, f"{source}, line {number}: {text.strip()}"))
+    return parsed
 
 
-def _parse_line(words: list[str], place: str) -> FaultLine:
+def _parse_line(words: list[str], location: str) -> FaultLine:
     try:
         target, rest = words[1], words[2:]
-        kind = _parse_kind(words[0], target, place)
+        kind = _parse_kind(words[0], target, location)
         argument = ""
         if target in TARGETS_WITH_ARGUMENT:
             argument, rest = rest[0], rest[1:]
             if target != "plan":
                 float(argument.rstrip("%"))
-        fields = _parse_fields(kind, rest, place)
+        fields = _parse_fields(kind, rest, location)
         return FaultLine(
             kind,
             target,
@@ -187,30 +187,30 @@
             _parse_range(fields.get("for", "0")),
         )
     except (IndexError, ValueError) as error:
-        raise FaultError(place, str(error)) from error
+        raise FaultError(location, str(error)) from error
 
 
-def _parse_kind(word: str, target: str, place: str) -> FaultKind:
-    """The kind that a word names, where it may have that target."""
+def _parse_kind(word: str, target: str, location: str) -> FaultKind:
+    """Returns the kind that a word names, if it may have the target."""
     if word not in SYNTAX:
-        raise FaultError(place, f"there is no kind '{word}'; there are {', '.join(SYNTAX)}")
+        raise FaultError(location, f"unknown kind '{word}'; known are {', '.join(SYNTAX)}")
     kind = FaultKind(word)
     targets = SYNTAX[kind].targets
     if target not in targets:
-        raise FaultError(place, f"'{kind}' is for {', '.join(targets)}")
+        raise FaultError(location, f"'{kind}' needs one of these targets: {', '.join(targets)}")
     return kind
 
 
-def _parse_fields(kind: FaultKind, words: list[str], place: str) -> dict[str, str]:
+def _parse_fields(kind: FaultKind, words: list[str], location: str) -> dict[str, str]:
     syntax = SYNTAX[kind]
     fields = dict(zip(words[::2], words[1::2], strict=False))
-    wanted = {"at"}
+    required = {"at"}
     if syntax.has_size:
-        wanted.add("size")
+        required.add("size")
     if syntax.has_duration:
-        wanted.add("for")
-    if len(words) % 2 or set(fields) != wanted:
-        raise FaultError(place, f"'{kind}' needs {', '.join(sorted(wanted))}, each once")
+        required.add("for")
+    if len(words) % 2 or set(fields) != required:
+        raise FaultError(location, f"'{kind}' needs each of these once: {', '.join(sorted(required))}")
     return fields
 
 
@@ -218,7 +218,7 @@
     low, _, high = word.partition("..")
     parsed = Range(float(low), float(high or low))
     if not 0 <= parsed.low <= parsed.high < MAX_NUMBER:
-        raise ValueError(f"'{word}' is no range")
+        raise ValueError(f"'{word}' is not a range")
     return parsed
 
 
@@ -229,12 +229,12 @@
     gateways: Iterable[int],
     volumes: Mapping[str, str],
 ) -> list[FaultEvent]:
-    """Draws the events of a day in the order of time.
+    """Draws the events of a day, sorted by time.
 
-    Each line has a generator of its own, so that taking one away leaves what the others draw.
+    Each line has its own random generator, so that removing a line does not change what others draw.
 
     Args:
-        lines: What may happen.
+        lines: Parsed lines of the notation.
         seed: The seed of the day.
         nodes: The zone of each node.
         gateways: Numbers of the gateways.
@@ -281,9 +281,9 @@
 
 
 def _target_count(argument: str, available: int) -> int:
-    """How many targets "3" or "20%" asks for, from one to all; "" asks for one."""
+    """Returns how many targets "3" or "20%" asks for, from one to all; "" asks for one."""
     if not argument:
         return 1
     number = float(argument.rstrip("%"))
-    wanted = round(number / 100 * available) if argument.endswith("%") else int(number)
-    return max(1, min(available, wanted))
+    count = round(number / 100 * available) if argument.endswith("%") else int(number)
+    return max(1, min(available, count))
--- a/rushmux/lab/histograms.py
+++ b/rushmux/lab/histograms.py
@@ -1,4 +1,4 @@
-"""Latency histograms in microseconds that can be kept as text and merged (HdrHistogram)."""
+"""Latency histograms (HdrHistogram) in microseconds, which can be stored as text and merged."""
 
 from collections.abc import Iterable
 
@@ -11,22 +11,22 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """An empty histogram; they merge by `add`."""
+    """Returns an empty histogram."""
     return HdrHistogram(MIN_VALUE, MAX_VALUE, SIGNIFICANT_DIGITS)
 
 
 def record_seconds(histogram: HdrHistogram, seconds: float) -> None:
-    """Counts a time."""
+    """Records a time given in seconds."""
     histogram.record_value(max(MIN_VALUE, int(seconds * US_PER_SECOND)))
 
 
 def percentile_ms(histogram: HdrHistogram, percentile: float) -> float:
-    """A percentile in milliseconds."""
+    """Returns a percentile in milliseconds."""
     return histogram.get_value_at_percentile(percentile) / US_PER_MS
 
 
 def merge(encoded: Iterable[str]) -> HdrHistogram:
-    """One histogram of several that were kept as text."""
+    """Returns the sum of several encoded histograms."""
     merged = new_histogram()
     for text in encoded:
         merged.add(HdrHistogram.decode(text))
--- a/rushmux/lab/json_path.py
+++ b/rushmux/lab/json_path.py
@@ -1,14 +1,14 @@
-"""Values in nested JSON by their path, such as `/fleet/tick_ms`."""
+"""Sets values in nested JSON by path, such as `/fleet/tick_ms`."""
 
 from typing import Any
 
 
 def set_value(document: dict[str, Any], path: str, value: Any) -> None:
-    """Sets a value in place; objects that are missing on the way are made.
+    """Sets a value in place; missing objects on the path are created.
 
     Raises:
-        IndexError: A list on the way is too short.
-        ValueError: A step into a list is no number.
+        IndexError: A list on the path is too short.
+        ValueError: A step into a list is not a number.
     """
     *steps, last = path.strip("/").split("/")
     parent: Any = document
--- a/rushmux/lab/legacy_scheduler.py
+++ b/rushmux/lab/legacy_scheduler.py
@@ -1,7 +1,7 @@
-"""Schedulers of revisions that had the decision logic in `rushmux/rules.py`, behind today's interface.
+"""Adapts schedulers of revisions with the decision logic in `rushmux/rules.py` to the current interface.
 
 The two interfaces differ in names only: records have the same fields in the same order, and the members of
-today's enums compare equal to the strings of before.
+the current enums compare equal to the former strings.
 """
 
 import types
@@ -12,26 +12,26 @@
 
 
 def load(interface_text: str, rules_text: str) -> Callable:
-    """What makes a scheduler of these texts, called as `scheduler.Scheduler` is."""
+    """Returns a factory of schedulers from source texts, called like `scheduler.Scheduler`."""
     interface, rules = types.ModuleType("legacy_interface"), types.ModuleType("legacy_rules")
-    # Texts of this repository's own history.
+    # The texts come from this repository's own history.
     exec(compile(interface_text, LEGACY_INTERFACE, "exec"), interface.__dict__)
     rules.__dict__["say"] = interface
     exec(compile(rules_text.replace(INTERFACE_IMPORT, ""), LEGACY_RULES, "exec"), rules.__dict__)
 
-    def make(settings, seed, now, actions):
+    def make_scheduler(settings, seed, now, actions):
         return LegacyScheduler(interface, rules, settings=settings, seed=seed, now=now, actions=actions)
 
-    return make
+    return make_scheduler
 
 
-def converted(record_type, record):
-    """A record of before with the values of today's; the older may lack the last fields."""
+def to_legacy(record_type, record):
+    """Returns a legacy record with the values of a current one, whose last fields it may lack."""
     return record_type(*record[: len(record_type._fields)])
 
 
 class LegacyOutbox:
-    """Today's actions under the names of before."""
+    """The current actions under their legacy names."""
 
     def __init__(self, actions):
         self.execute = actions.start_attempt
@@ -44,50 +44,50 @@
 
 
 class LegacyScheduler:
-    """A `Gateway` of before, called by today's events."""
+    """A legacy `Gateway` that is called by the current events."""
 
     def __init__(self, interface, rules, *, settings, seed, now, actions):
         self.interface = interface
-        lanes = {name: converted(interface.Lane, each) for name, each in settings.request_classes.items()}
-        plans = {name: converted(interface.Plan, each) for name, each in settings.plans.items()}
+        lanes = {name: to_legacy(interface.Lane, value) for name, value in settings.request_classes.items()}
+        plans = {name: to_legacy(interface.Plan, value) for name, value in settings.plans.items()}
         settings = settings._replace(
             request_classes=lanes, plans=plans, route_policies=self._routes(settings.route_policies)
         )
-        terms = converted(interface.Terms, settings)
+        terms = to_legacy(interface.Terms, settings)
         self.gateway = rules.Gateway(terms, seed, now, LegacyOutbox(actions))
 
     def _routes(self, policies):
-        return {key: converted(self.interface.Route, policy) for key, policy in policies.items()}
+        return {key: to_legacy(self.interface.Route, policy) for key, policy in policies.items()}
 
     def on_endpoints(self, now, kind, endpoints):
-        """The endpoint list, or updates of it, arrived."""
-        entries = [converted(self.interface.Listed, endpoint) for endpoint in endpoints]
+        """Handles the endpoint list or updates of it."""
+        entries = [to_legacy(self.interface.Listed, endpoint) for endpoint in endpoints]
         self.gateway.listed(now, kind, entries)
 
     def on_operation(self, now, request):
-        """A client asks for an operation."""
+        """Handles an operation of a client."""
         self.gateway.taken(now, *request)
 
     def on_attempt_result(self, now, report):
-        """An attempt came back."""
+        """Handles the result of an attempt."""
         self.gateway.answered(now, *report)
 
     def on_load_report(self, node, result, queue, service):
-        """A node told its load."""
+        """Handles a load report of a node."""
         self.gateway.reported(node, result, queue, service)
 
     def on_client_gone(self, now, op_id):
-        """The operation needs no answer any more."""
+        """Handles the loss of the client: the operation needs no answer."""
         self.gateway.left(now, op_id)
 
     def on_quota(self, now, volume, share):
-        """This gateway's share of a volume's limit changed."""
+        """Handles a change of this gateway's share of a volume's limit."""
         self.gateway.shared(now, volume, share)
 
     def on_route_policies(self, policies):
-        """Route policies for operations from now on."""
+        """Sets the route policies of new operations."""
         self.gateway.routed(self._routes(policies))
 
     def run_round(self, now):
-        """Acts on all events since the last round."""
+        """Runs a round for the events since the last one."""
         self.gateway.act(now)
--- a/rushmux/lab/load.py
+++ b/rushmux/lab/load.py
@@ -1,7 +1,8 @@
-"""Drives running edges over sockets with an experiment's workload: open loop, times from the intended start.
+"""Drives running edges over sockets with an experiment's workload.
 
-Each new object becomes a file that is written, each read one of those written before through the same
-folder; sizes follow the operations' units.
+The load is an open loop: requests are sent at their times, and latencies count from then.  A new object of
+the workload is a file to write, sized by the operation's units; a read gets a file written before in the
+same folder.
 """
 
 import asyncio
@@ -19,28 +20,28 @@
 from rushmux.sftp import packets as sftp
 from rushmux.standins.client import Client, ConnectionClosedError, StatusError
 
-MAX_IN_FLIGHT = 2_000  # requests; more are not sent, and counted
+MAX_IN_FLIGHT = 2_000  # requests; others are not sent but counted as `NOT_SENT`
 BYTES_PER_UNIT = 32_768
-KNOWN_FILES = 64  # files of a folder that reads choose from
+MAX_KNOWN_FILES = 64  # newest files of a folder that reads choose from
 SESSIONS_PER_EDGE = 4
-INITIAL_FILES = 2  # written to each folder before the clock starts
+INITIAL_FILES = 2  # written to each folder before the load starts
 READ, WRITE = "read", "write"
 LATENCY_OBJECTIVES = {
     WRITE: 1.4,
     READ: 0.8,
-}  # seconds, of the accesses that a request is made of, in the example
-NOT_SENT = "turned away by the load"
+}  # seconds, for all operations of a request, from the request classes of the example deployment
+NOT_SENT = "turned away by the load"  # outcome of a request beyond `MAX_IN_FLIGHT`
 
 Address = tuple[str, int]
 """Host and port."""
 
 
 class LoadTargetError(LabError):
-    """No edge takes a session, or no folder a file.
+    """An edge accepts no session, or a folder no file.
 
     Attributes:
         target: The edge or the file.
-        reason: Why it does not.
+        reason: What went wrong.
     """
 
     def __init__(self, target: str, reason: str):
@@ -49,10 +50,10 @@
 
 
 class LoadResult(NamedTuple):
-    """What driving edges came to."""
+    """The result of driving edges."""
 
     lines: list[str]
-    """Plain text."""
+    """A report as plain text."""
     all_answered: bool
 
 
@@ -62,7 +63,7 @@
     """Sends the first `seconds` of a day to running edges.
 
     Raises:
-        NotServedError: An edge takes no session, or a folder no file.
+        NotServedError: An edge accepts no session, or a folder no file.
     """
     without_faults = {**experiment, "seconds": seconds, "troubles": []}
     arrivals = draw_day(without_faults, experiment["variants"][0], seed).arrivals
@@ -83,32 +84,34 @@
 
 
 async def _connect(address: Address) -> list[Client]:
-    """Sessions with an edge."""
+    """Opens sessions with an edge."""
     host, port = address
     try:
         return [await Client(_ignore_record).connect(host, port) for _ in range(SESSIONS_PER_EDGE)]
     except (OSError, ConnectionClosedError) as error:
-        raise LoadTargetError(f"{host}:{port}", f"takes no session: {error}") from error
+        raise LoadTargetError(f"{host}:{port}", f"accepts no session: {error}") from error
 
 
 def _ignore_record(*_values, **_fields) -> None:
-    """Clients record what they do for the checker, which does not look at this."""
+    """Discards the records of clients, which only the checker needs."""
 
 
 class _LoadDriver:
-    """Sends requests at their times and counts how they end."""
+    """Sends requests at their times and counts the outcomes."""
 
     def __init__(self, pools: Sequence[Sequence[Client]], folders: Sequence[str], volumes: Sequence[str]):
         self.loop = asyncio.get_running_loop()
         self.pools, self.folders = pools, folders
-        self.known_files: dict[str, deque[str]] = {folder: deque(maxlen=KNOWN_FILES) for folder in folders}
-        self.folder_of_volume = {name: folders[place % len(folders)] for place, name in enumerate(volumes)}
+        self.known_files: dict[str, deque[str]] = {
+            folder: deque(maxlen=MAX_KNOWN_FILES) for folder in folders
+        }
+        self.folder_of_volume = {name: folders[number % len(folders)] for number, name in enumerate(volumes)}
         self.outcomes: Counter[str] = Counter()
         self.latencies = {kind: histograms.new_histogram() for kind in LATENCY_OBJECTIVES}
         self.in_time = 0
 
     async def write_initial_files(self) -> None:
-        """Writes what the first reads read."""
+        """Writes files for the first reads."""
         client = self.pools[0][0]
         for folder in self.folders:
             for number in range(INITIAL_FILES):
@@ -116,11 +119,11 @@
                 try:
                     await client.put(path, b"x" * BYTES_PER_UNIT)
                 except (StatusError, ConnectionClosedError) as error:
-                    raise LoadTargetError(path, f"cannot be filed: {error}") from error
+                    raise LoadTargetError(path, f"cannot be written: {error}") from error
                 self.known_files[folder].append(path)
 
     async def send_all(self, arrivals: Sequence[Arrival]) -> None:
-        """Sends each request at its time, whatever became of the others, and waits for all answers."""
+        """Sends each request at its time, whether or not others are answered, and waits for all answers."""
         start, tasks = self.loop.time(), {}
         for number, arrival in enumerate(arrivals):
             due = start + arrival.at
@@ -138,8 +141,8 @@
         kind = WRITE if arrival.is_write else READ
         try:
             await self._request(number, arrival, due)
-        except StatusError as refusal:
-            self.outcomes[refusal.status.message.split(":")[0] or sftp.FAILURE] += 1
+        except StatusError as error:
+            self.outcomes[error.status.message.split(":")[0] or sftp.FAILURE] += 1
         except (ConnectionClosedError, OSError):
             self.outcomes[ClientOutcome.LOST] += 1
         else:
@@ -160,7 +163,7 @@
             await client.get(known_files[number % len(known_files)])
 
     def summarize(self, request_count: int, seconds: float) -> list[str]:
-        """Plain text of how the requests ended, and of their latencies."""
+        """Returns a plain text report of outcomes and latencies."""
         outcomes = ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
         in_time = self.in_time / max(1, request_count)
         lines = [
--- a/tests/lab/conftest.py
+++ b/tests/lab/conftest.py
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def make_experiment():
-    """Makes a checked experiment of a few seconds."""
+    """Returns a factory of checked experiments of a few seconds."""
 
     def make(fault_lines=(), variants=({"name": "module"},), **other):
         return check(
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def run_simulation():
-    """Runs a scheduler simulation of one day of an experiment."""
+    """Returns a function that runs a scheduler simulation of one day of an experiment."""
 
     def run(experiment, seed=1, **settings):
         day = draw_day(experiment, experiment["variants"][0], seed)
@@ -45,5 +45,5 @@
 
 @pytest.fixture
 def make_store(tmp_path):
-    """Opens a store of results by its name."""
+    """Returns a function that opens a result store by name."""
     return lambda name="results": ResultStore(tmp_path / name)
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -1,4 +1,4 @@
-"""Comparison of variants: differences are found where there are any."""
+"""Comparison of variants: real differences are found, and few others."""
 
 import numpy
 import pytest
@@ -7,7 +7,7 @@
 from rushmux.lab.compare import Conclusion
 
 
-def test_differences_are_seen_where_they_are_and_not_where_they_are_not():
+def test_a_shift_is_detected_and_noise_alone_rarely_is():
     generator, false_alarms = numpy.random.default_rng(3), 0
     for number in range(60):
         noise = generator.normal(0, 0.02, (2, 10))
@@ -21,7 +21,7 @@
             assert row.conclusion == "better" or row.mean < 0.03
         else:
             false_alarms += row.conclusion != "no difference seen"
-    assert false_alarms <= 4  # of 30, at a level of one in twenty
+    assert false_alarms <= 4  # of 30, at a significance level of 0.05
 
 
 def test_equal_results_give_no_difference():
@@ -32,5 +32,5 @@
     assert compare.is_narrow(results, "in_time", 1e-6)
 
 
-def test_holm_correction_is_in_the_order_given():
+def test_holm_correction_keeps_the_given_order():
     assert compare.holm_correction([0.01, 0.04, 0.03]) == pytest.approx([0.03, 0.06, 0.06])
--- a/tests/lab/test_faults.py
+++ b/tests/lab/test_faults.py
@@ -1,4 +1,4 @@
-"""The notation of faults, and what a seed draws from it."""
+"""The notation of faults, and the events drawn from it."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("line", EVERY_LINE)
-def test_a_parsed_line_has_the_same_text_again(line):
+def test_the_text_of_a_parsed_line_parses_to_the_same_line(line):
     (parsed,) = faults.parse([line])
     assert faults.parse([parsed.text()]) == [parsed]
     events = faults.draw([parsed], 3, NODES, range(4), VOLUMES)
@@ -25,24 +25,24 @@
 
 
 @pytest.mark.parametrize(
-    "line, words",
+    "line, message",
     [
-        ("silence node at 1 for 2", "no kind 'silence'"),
-        ("silent edge at 1 for 2", "for node, nodes, zone"),
-        ("slow node at 1 for 2", "needs at, for, size"),
-        ("slow node size 5..2 at 1 for 2", "no range"),
+        ("silence node at 1 for 2", "unknown kind 'silence'"),
+        ("silent edge at 1 for 2", "targets: node, nodes, zone"),
+        ("slow node at 1 for 2", "needs each of these once: at, for, size"),
+        ("slow node size 5..2 at 1 for 2", "not a range"),
         ("silent node at one for 2", "one"),
         ("silent nodes at 1 for 2", "at"),
         ("silent", "out of range"),
     ],
 )
-def test_an_invalid_line_is_named_in_the_error(line, words):
+def test_an_invalid_line_is_named_in_the_error(line, message):
     with pytest.raises(faults.FaultError) as error:
         faults.parse(["resets node at 1", line])
-    assert "line 2" in str(error.value) and words in str(error.value)
+    assert "line 2" in str(error.value) and message in str(error.value)
 
 
-def test_removing_a_line_leaves_what_the_others_draw():
+def test_removing_a_line_does_not_change_what_others_draw():
     lines = faults.parse(["silent node at 1..9 for 1..5", "die edges 2 at 1..9 for 1..5"])
     both = faults.draw(lines, 5, NODES, range(9), VOLUMES)
     crashes = [event for event in both if event.kind is FaultKind.GATEWAY_CRASH]
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool against real edges over sockets."""
+"""The load driver against real edges over sockets."""
 
 import asyncio
 import copy
