--- a/rushmux/lab/baselines.py
+++ b/rushmux/lab/baselines.py
@@ -162,7 +162,7 @@
 
 
 class EarliestDeadline(Baseline):
-    """The operation whose latency objective ends first goes first."""
+    """The operation with the nearest end of its latency objective goes first."""
 
     def sort_key(self, operation):
         """Sorts by the end of the objective, then by arrival."""
--- a/rushmux/lab/client.py
+++ b/rushmux/lab/client.py
@@ -1,4 +1,4 @@
-"""The retries of an emulated client, and the outcomes that it sees."""
+"""The retries of a simulated client, and the outcomes that it sees."""
 
 import random
 from enum import StrEnum
--- a/rushmux/lab/compare.py
+++ b/rushmux/lab/compare.py
@@ -9,7 +9,7 @@
 
 CONFIDENCE = 0.95
 RESAMPLES = 2_000
-MAX_EXACT_PAIRS = 12  # up to this many, all 2**n sign changes are tried
+MAX_EXACT_PAIRS = 12  # with up to this many, all sign changes are tried
 RESAMPLING_SEED = 7
 MIN_PAIRS = 2
 MIN_VARIANTS = 2
@@ -27,7 +27,7 @@
 
 
 class Difference(NamedTuple):
-    """The mean difference of a variant from the first one in one measure, over the seeds of both."""
+    """The mean difference of a variant from the first one in one measure, over common seeds."""
 
     variant: str
     measure: str
--- a/rushmux/lab/model_check/rule_monitor.py
+++ b/rushmux/lab/model_check/rule_monitor.py
@@ -62,7 +62,7 @@
 
     @property
     def now(self) -> Ticks:
-        """The time of the schedule."""
+        """The simulated time."""
         return self.history.clock.now
 
     def on_endpoint(self, gateway: int, endpoint: Endpoint) -> None:
--- a/rushmux/lab/model_check/scenarios.py
+++ b/rushmux/lab/model_check/scenarios.py
@@ -86,7 +86,7 @@
 
 
 def retry_near_end_of_dedup_window(schedule: Schedule, request_class: str, plan: str) -> Ticks:
-    """Takes a node away after the first attempt, and back just before a retry would be too late."""
+    """Drains a node after the first attempt, and brings it back just before a retry would be too late."""
     client, gateway = _Client(schedule, request_class, plan), schedule.gateways[0]
     class_settings = schedule.bounds.settings.request_classes[request_class]
     round_interval = schedule.bounds.settings.round_interval
--- a/rushmux/lab/model_check/schedule.py
+++ b/rushmux/lab/model_check/schedule.py
@@ -21,7 +21,7 @@
 START_TIME = 10  # of a new schedule, in ticks
 TYPICAL_USAGE = 2  # fleet usage in an answer: one percent of the plan's rate
 USAGE_VALUES = (0, TYPICAL_USAGE, 401)  # none, and others: the usage may be late, stale or wrong
-MAX_EVENTS = 20_000  # of a schedule; one with more does not end
+MAX_EVENTS = 20_000  # a schedule with more is considered endless
 
 
 class NodeBehaviour(Enum):
@@ -89,7 +89,7 @@
             self.dial_times = _worst_and_none(bounds.dial_timeout)
             self.round_delays = _worst_and_none(bounds.settings.round_interval)
         self.usage_values = USAGE_VALUES if bounds.settings.usage_period else (TYPICAL_USAGE,)
-        self._busy_until = 0  # end of the work of all nodes in slow start, which is done one by one
+        self._busy_until = 0  # end of the work at nodes in slow start, which is done one by one
         self.gateways = [ModelGateway(self, number) for number in range(gateway_count)]
 
     @property
