--- a/benchmarks/planner_kills.py
+++ b/benchmarks/planner_kills.py
@@ -31,28 +31,30 @@
 WAY = 0.005  # seconds: longest simulated way of a message
 
 
-def played(seed):
+def run_seed(seed):
     """One run: requests, those that succeeded, kills, and the breaches."""
     raw = copy.deepcopy(EXAMPLE)
     raw["fleet"]["shares"] = bool(seed % 2)
     stated = deployments.build(raw)
 
     async def story(made):
-        chance, port = random.Random(seed), made.lists.port
+        chance, port = random.Random(seed), made.endpoint_source.port
 
         async def killer():
             for _ in range(KILLS):
                 await made.sleep(chance.uniform(0.2, 4.0))
                 made.kill_planner()
                 await made.sleep(chance.uniform(0.0, 2.0))
-                await made.plan(NODES, port)
+                await made.start_single_planner(NODES, port)
 
         task = asyncio.ensure_future(killer())
-        await days.play(made, script.parse(EVENTS), days.Load(LOAD), seed)
+        await days.run_day(made, script.parse(EVENTS), days.Load(LOAD), seed)
         await task
 
     with tempfile.TemporaryDirectory() as place:
-        made, _ = fleets.play(stated, seed, story, NODES, EDGES, planner=Path(place) / "p", level="error")
+        made, _ = fleets.run_fleet(
+            stated, seed, story, NODES, EDGES, planner=Path(place) / "p", level="error"
+        )
     records = made.all_records()
     breaches = Checker(records, stated, WAY).breaches()
     answers = [row for row in records if row["kind"] == "answer"]
@@ -70,7 +72,7 @@
     answers = good = kills = 0
     broken = []
     with worker_pool(wanted.jobs) as pool:
-        for seed, (some, fine, killed, breaches) in zip(seeds, pool.map(played, seeds), strict=True):
+        for seed, (some, fine, killed, breaches) in zip(seeds, pool.map(run_seed, seeds), strict=True):
             answers, good, kills = answers + some, good + fine, kills + killed
             broken += [f"seed {seed}: {text}" for text in breaches[:3]]
     print(
