--- a/rushmux/lab/optimal_bound.py
+++ b/rushmux/lab/optimal_bound.py
@@ -1,11 +1,10 @@
-"""An upper bound on what any scheduler could serve in time, even one that knew the whole day in advance.
-
-Time is divided into slots.  In each slot a node offers its core-seconds at its current speed; an operation
-may be served in any slot between its arrival and its latency objective, by the node that holds its data, or
-by any node for a new object.  Whatever the program does not model favours the scheduler: sizes are rounded
-down to classes, a key that was accessed before has the lower cost, deferred work costs nothing, operations
-may be split over slots, messages take no time, and a node in slow start may be loaded up to its capacity.
-HiGHS, through scipy, maximizes the operations served.
+"""An upper bound on what a scheduler with full knowledge of a day could serve in time.
+
+A linear program divides time into slots, in each of which a node offers its core-seconds at its speed then.
+An operation may be served in any slot between arrival and latency objective, by the node that holds its data,
+or by any node for a new object.  All simplifications favour the scheduler: sizes are rounded down to classes,
+keys accessed before have the lower cost, deferred work costs nothing, operations may be split over slots,
+messages take no time, and a node in slow start may be loaded up to its capacity.
 """
 
 from collections import defaultdict
@@ -70,9 +69,9 @@
 def _fraction_after_fault(
     fraction: numpy.ndarray, event: FaultEvent, middles: numpy.ndarray, machine: Shape
 ) -> numpy.ndarray:
-    """Applies one more fault to the fraction of a node's capacity that is left in each slot."""
+    """Applies a fault to the fraction of a node's capacity left in each slot."""
     end = event.at + event.duration
-    # Slots that the fault covers only partly keep their capacity: the bound must not be too low.
+    # Slots only partly within the fault keep their capacity, in favour of the scheduler.
     within = (middles - SLOT / 2 >= event.at) & (middles + SLOT / 2 <= end)
     if event.kind in DOWN_KINDS:
         fraction = numpy.where(within, 0.0, fraction)
@@ -116,7 +115,7 @@
 
 
 class _LinearProgram:
-    """The variables are a group's operations served in a slot; capacities and counts constrain them."""
+    """Variables are a group's operations served in a slot; constraints are capacities and counts."""
 
     def __init__(self, capacities: Sequence[numpy.ndarray], slot_count: int):
         self.rows: list[int] = []
@@ -129,7 +128,7 @@
             for slot in range(slot_count)
             for cell, capacity in enumerate(capacities)
         }
-        # A new object may go to any node; one capacity for the whole fleet only favours the scheduler.
+        # A new object may go to any node: treating all nodes as one favours the scheduler.
         self.fleet_rows = [
             self._add_constraint(sum(capacity[slot] for capacity in capacities)) for slot in range(slot_count)
         ]
@@ -144,7 +143,7 @@
         self.coefficients.append(value)
 
     def add_group(self, group: _OperationGroup, count: int) -> None:
-        """Adds the operations of a group, each of which is served at most once, in any of its slots."""
+        """Adds a group's operations, each served at most once, in any of its slots."""
         count_row = self._add_constraint(count)
         for slot in range(group.first_slot, group.last_slot + 1):
             column = len(self.upper_bounds)
@@ -179,7 +178,7 @@
     Args:
         day: The day.
         seconds: Its length.
-        speeds: Speed of each cell's machine; None: all have the speed of the fleet's machine.
+        speeds: Machine speed by cell; None: the speed that the fleet states for all.
 
     Raises:
         SolverError: The solver found no bound.
--- a/rushmux/lab/plots.py
+++ b/rushmux/lab/plots.py
@@ -10,7 +10,7 @@
 from rushmux.lab.measurements import DayResult
 from rushmux.lab.run import Results
 
-matplotlib.use("Agg")  # needs no display; has to precede the import of pyplot
+matplotlib.use("Agg")  # needs no display; must precede the import of pyplot
 from matplotlib import pyplot
 from matplotlib.figure import Figure
 
@@ -111,7 +111,7 @@
 
 
 def plot_nodes(days: Mapping[int, DayResult], title: str) -> Figure:
-    """Attempts in flight at each node and the concurrency limits for it, on the first of the days."""
+    """Attempts in flight at and concurrency limits for each node, on the first day."""
     samples = next(iter(days.values()))["nodes"]
     height = max(MIN_NODES_HEIGHT, NODE_ROW_HEIGHT * len(_node_names(samples)) + 1)
     figure, axes = pyplot.subplots(1, 2, figsize=(WIDTH, height), constrained_layout=True)
@@ -128,7 +128,7 @@
 
 
 def _plot_heatmap(figure: Figure, axis, samples: Sequence, *, column: int, palette: str) -> None:
-    """Draws a row for each node, readable with tens of nodes; `column` indexes a node's sample."""
+    """Draws a row for each node, which suits tens of nodes; `column` indexes a node's sample."""
     names, times = _node_names(samples), [at for at, _ in samples]
     image = axis.imshow(
         numpy.array([[nodes[name][column] for _, nodes in samples] for name in names]),
--- a/rushmux/lab/report.py
+++ b/rushmux/lab/report.py
@@ -1,4 +1,4 @@
-"""An experiment's results as a self-contained HTML page; the plots are also written as files."""
+"""An experiment's results as a self-contained HTML page, and its plots as files."""
 
 import base64
 import html
@@ -55,7 +55,7 @@
 
 
 def write(experiment: Experiment, results: Results, folder: str | Path) -> Path:
-    """Writes the page and its plots to a folder and returns the path of the page."""
+    """Writes the page and its plots to a folder; returns the page's path."""
     folder = Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
     completed = without_crashes(results)
@@ -87,7 +87,7 @@
 
 
 def _write_image(figure: Figure, path: Path) -> str:
-    """Writes a plot to a file and returns it as an HTML image with embedded data."""
+    """Writes a plot to a file and returns it as an inline HTML image."""
     buffer = io.BytesIO()
     figure.savefig(buffer, format="png", dpi=DPI, metadata={"Software": None})
     pyplot.close(figure)
@@ -204,7 +204,7 @@
 
 
 def _margin_cell(days: Mapping[int, DayResult], rule: str) -> str:
-    """The highest ratio of an event to the bound of a rule over all days."""
+    """The highest ratio to the bound of a rule over all days."""
     checks = [day["rules"][rule] for day in days.values()]
     broken_days = sum(bool(breaches) for _, _, breaches in checks)
     nearest = max((nearest for _, nearest, _ in checks if nearest is not None), default=None)
--- a/rushmux/lab/result_store.py
+++ b/rushmux/lab/result_store.py
@@ -1,4 +1,4 @@
-"""Results of experiments in an SQLite database, with one atomically written row per variant and seed."""
+"""Results of experiments in an SQLite database, one row for each variant and seed."""
 
 import hashlib
 import json
@@ -40,7 +40,7 @@
     digest: str
     """Digest of experiment and variant (`experiment_digest`)."""
     scheduler: str
-    """Digest of the source of the scheduler."""
+    """Digest of the scheduler's source."""
     seed: int
 
 
--- a/rushmux/lab/saved_day.py
+++ b/rushmux/lab/saved_day.py
@@ -11,7 +11,7 @@
 from rushmux.lab.search import Candidate, SimulatedDay, simulate_day
 
 FORMAT = 1
-TOLERANCE = 0.03  # loss of the fraction served since the day was saved that still passes
+TOLERANCE = 0.03  # accepted decrease of the fraction served since the day was saved
 NOT_SAVED = ("variants", "seeds", "troubles")  # keys of the experiment
 
 
@@ -84,7 +84,7 @@
 def replay(path: str | Path, tolerance: float = TOLERANCE) -> ReplayResult:
     """Simulates a saved day with the current scheduler.
 
-    It passes if no rule is broken and, within the tolerance, at least as much is served as when it was saved.
+    It passes if no rule is broken and, within the tolerance, no less is served than when it was saved.
 
     Raises:
         SavedDayError: The file cannot be read or is not a saved day.
--- a/rushmux/lab/search.py
+++ b/rushmux/lab/search.py
@@ -1,9 +1,9 @@
 """Searches an experiment's ranges for the worst day, and shrinks it to the faults that matter.
 
-A day is a seed (which determines arrivals, machine speeds and targets of faults) and a set of fault lines.
-The search is simulated annealing over both: a move changes a number within a line's range, adds or removes a
-line, or changes the seed.  A bandit over kinds of faults would find the worst kind but no combinations, and
-an optimizer such as scipy's dual annealing needs a fixed number of variables, while lines come and go.
+A day is a seed, from which arrivals, machine speeds and fault targets are drawn, and a set of fault lines.
+The search is simulated annealing over both: a move changes a number within a line's range, adds or removes
+a line, or changes the seed.  A bandit over kinds of faults would miss their combinations, and scipy's dual
+annealing needs a fixed number of variables, but lines come and go.
 """
 
 import random
@@ -87,7 +87,7 @@
 
 
 class _DaySimulator:
-    """Simulates candidates with an experiment's first variant, on several cores."""
+    """Simulates candidates with the first variant, on several cores."""
 
     def __init__(self, experiment: Experiment, pool: ProcessPoolExecutor):
         self.experiment, self.pool = experiment, pool
@@ -109,7 +109,7 @@
 
 
 class Neighbourhood:
-    """Draws initial candidates and neighbours of days."""
+    """Draws the initial candidates and their neighbours."""
 
     def __init__(self, ranges: Sequence[FaultLine], generator: random.Random):
         self.ranges, self.generator = ranges, generator
@@ -137,7 +137,7 @@
         return Candidate(day.seed, tuple(lines))
 
     def _unused_ranges(self, lines: Sequence[str]) -> list[FaultLine]:
-        """The ranges that a day has no line of; each range gives at most one line."""
+        """The ranges without a line in a day; a range gives at most one."""
         used = {_fault_key(line) for line in faults.parse(lines)}
         return [line for line in self.ranges if _fault_key(line) not in used]
 
@@ -169,7 +169,7 @@
     jobs: int,
     on_progress: OnProgress = lambda text: None,
 ) -> SimulatedDay:
-    """Returns the worst of `days` simulated days; repeatable with the same seed and number of jobs."""
+    """The worst of `days` simulated days; repeatable with the same seed and number of jobs."""
     generator = random.Random(seed)
     neighbourhood = Neighbourhood(faults.parse(experiment["troubles"]), generator)
     chains = min(jobs, max(1, days // MIN_DAYS_PER_CHAIN), MAX_CHAINS)
@@ -192,7 +192,7 @@
 
 
 def _temperature(done: float) -> float:
-    """Falls from the initial to the final temperature; `done` is the fraction of the rounds done."""
+    """The temperature after a fraction `done` of the rounds."""
     return INITIAL_TEMPERATURE * (FINAL_TEMPERATURE / INITIAL_TEMPERATURE) ** done
 
 
@@ -217,7 +217,7 @@
     jobs: int,
     on_progress: OnProgress = lambda text: None,
 ) -> SimulatedDay:
-    """Removes fault lines for as long as the day stays about as bad."""
+    """Removes fault lines as long as the day stays about as bad."""
     with worker_pool(jobs) as pool:
         simulator = _DaySimulator(experiment, pool)
         while len(day.lines) > 1:
--- a/rushmux/lab/simulated_gateway.py
+++ b/rushmux/lab/simulated_gateway.py
@@ -1,4 +1,4 @@
-"""An emulated gateway of the scheduler simulation, with the real scheduler on the simulated clock."""
+"""An emulated gateway with the real scheduler on the simulated clock."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -101,7 +101,7 @@
                 self.on_answer(self, operation, ClientOutcome.LOST, 0)
 
     def deliver(self, handler: Callable, *arguments: Any) -> None:
-        """Handles an event, after a pause if there is one, and runs a round after all events due by then."""
+        """Handles an event, after any pause, and runs a round after all events due now."""
         clock = self.context.clock
         if clock.time() < self.paused_until:
             clock.call_at(self.paused_until, self.deliver, handler, *arguments)
@@ -166,7 +166,7 @@
         return f"{self.op_id_prefix}/c"
 
     def _time_left(self, operation: SimulatedOperation) -> Ticks:
-        """Time that the client still waits: its deadline less the time since it sent the operation."""
+        """Time left to the client's deadline; a paused gateway may have used some."""
         arrival = operation.arrival
         request_class = self.context.deployment.settings.request_classes[arrival.request_class]
         time_left = int(request_class.deadline * arrival.deadline_fraction)
@@ -248,7 +248,7 @@
             self.scheduler.on_load_report(node, AttemptResult.SUCCEEDED, load.queue, load.service)
 
     def wake_after(self, delay: Ticks) -> None:
-        """Schedules a round after a delay, in place of one scheduled before."""
+        """Schedules a round after a delay; replaces an earlier request."""
         if self.wake_timer is not None:
             self.wake_timer.cancel()
         self.wake_timer = self.context.clock.call_later(delay / TICKS_PER_SECOND, self.deliver, self._on_wake)
--- a/rushmux/lab/simulated_network.py
+++ b/rushmux/lab/simulated_network.py
@@ -11,7 +11,7 @@
 
 IN_ZONE_DELAY = (0.0002, 0.0015)  # one-way seconds within a zone
 CROSS_ZONE_DELAY = (0.0008, 0.003)  # one-way seconds between two zones
-CONNECT_FAILURE_DELAY = IN_ZONE_DELAY[1]  # seconds until a gateway notices a failure to connect
+CONNECT_FAILURE_DELAY = IN_ZONE_DELAY[1]  # seconds until a gateway notices it
 
 
 class SimulatedAttempt(NamedTuple):
@@ -30,7 +30,7 @@
         self.clock, self.generator = context.clock, context.generator
 
     def send(self, node: "SimulatedNode", attempt: SimulatedAttempt) -> None:
-        """Delivers an attempt to a node, or reports to its gateway that the connection failed."""
+        """Delivers an attempt to a node, or a connection failure to its gateway."""
         gateway = attempt.gateway
         if not node.accepts_connection(gateway):
             self.clock.call_later(
@@ -51,7 +51,7 @@
         result: AttemptResult,
         remote_usage: float = 0.0,
     ) -> None:
-        """Delivers a result to the gateway, unless the node or the gateway is partitioned."""
+        """Delivers a result to the gateway, unless either end is partitioned."""
         gateway = attempt.gateway
         if node.partitioned or gateway.partitioned:
             return
--- a/rushmux/lab/simulated_node.py
+++ b/rushmux/lab/simulated_node.py
@@ -1,4 +1,4 @@
-"""An emulated storage node of the scheduler simulation; one object covers all its restarts."""
+"""An emulated storage node of the scheduler simulation, across its restarts."""
 
 import random
 from collections.abc import Callable
@@ -97,7 +97,7 @@
             self.network.reply(self, attempt, AttemptResult.CONNECTION_LOST)
 
     def accepts_connection(self, gateway: "SimulatedGateway") -> bool:
-        """Whether a gateway has a connection or can open one; marks it as used."""
+        """Whether a gateway has a connection or can open one; records its use."""
         if not self.alive or self.partitioned or gateway.partitioned:
             return False
         limit, now = self.context.fleet.max_connections, self.context.clock.time()
--- a/rushmux/lab/variants.py
+++ b/rushmux/lab/variants.py
@@ -1,4 +1,4 @@
-"""The scheduler of an experiment's variant: from this tree or a revision, optionally with texts replaced."""
+"""The scheduler of a variant: from this tree or a revision, perhaps with texts replaced."""
 
 import hashlib
 import importlib.abc
@@ -21,7 +21,7 @@
 
 
 class SourceError(LabError):
-    """A revision, or a text that a variant replaces, was not found; the message says which.
+    """The source of a variant's scheduler cannot be made; the message says why.
 
     Attributes:
         name: The revision, or the name of the variant.
@@ -43,7 +43,7 @@
         return hashlib.blake2b(joined.encode(), digest_size=8).hexdigest()
 
     def load(self) -> Callable:
-        """Loads the scheduler; returns a callable with the signature of `scheduler.Scheduler`."""
+        """Loads the scheduler; the result is called like `scheduler.Scheduler`."""
         texts = dict(self.texts)
         if legacy_scheduler.LEGACY_RULES in texts:
             interface = texts[legacy_scheduler.LEGACY_INTERFACE]
@@ -75,7 +75,7 @@
         text = self.texts[stem]
         for other in self.texts:
             text = text.replace(f"from {PACKAGE}.{other} import", f"from {self.package}.{other} import")
-        # The text comes from this repository, with any replacement that an experiment states.
+        # The text is from this repository, perhaps changed by the experiment.
         exec(compile(text, f"{FOLDER}/{stem}.py", "exec"), module.__dict__)
 
 
@@ -113,7 +113,7 @@
     """The source of the scheduler of a variant.
 
     Raises:
-        SourceError: The revision or a text to replace was not found.
+        SourceError: The revision has no scheduler, or a text to replace does not occur exactly once.
     """
     if "revision" in variant:
         texts = _read_revision(variant["revision"])
@@ -132,7 +132,7 @@
 
 
 def scheduler_type(variant: Variant, scheduler_source: SchedulerSource) -> Callable:
-    """The callable that creates a gateway's scheduler in a variant."""
+    """What creates a variant's schedulers."""
     if variant.get("decisions", "module") != "module":
         return BASELINES[variant["decisions"]]
     return scheduler_source.load()
--- a/rushmux/lab/workload.py
+++ b/rushmux/lab/workload.py
@@ -16,7 +16,7 @@
 GATEWAY_SKEW = 0.6  # mean of the exponential draw of an index into a volume's gateways
 MAX_BATCH = 8  # operations that a client sends in a row
 BATCH_SPACING = 0.004  # seconds between them
-MIN_ZIPF = 1.01  # replaces an exponent of one or less, for which there is no distribution
+MIN_ZIPF = 1.01  # replaces exponents of one or less, which have no distribution
 ZIPF_MARGIN = 1e-9  # keeps exponents above one
 VOLUME_STREAM, ARRIVAL_STREAM = 1, 2  # random streams of a seed
 
@@ -104,7 +104,7 @@
 
     Args:
         nominal_rates: Units per second of a volume, by plan.
-        counts: Number of volumes of each plan.
+        counts: Number of volumes by plan.
         cell_count: Number of cells of the fleet.
         gateway_count: Number of gateways of the fleet.
         capacity: Units per second of the fleet; the volumes demand the fraction `load` of it.
@@ -135,7 +135,7 @@
 
 
 def relative_rate(settings: WorkloadSettings, at: numpy.ndarray) -> numpy.ndarray:
-    """The rate at times (seconds), relative to its mean: one slow sine wave for all volumes."""
+    """The rate at times (seconds) relative to its mean: a slow sine, shared by all volumes."""
     return 1 + settings["rush"] * numpy.sin(2 * numpy.pi * at / settings["rush_period"])
 
 
@@ -189,7 +189,7 @@
         self.request_classes, self.max_units = request_classes, max_units
 
     def batches(self, steps: _Steps) -> numpy.ndarray:
-        """The number of batches in each step, by a Poisson process; clients send operations in batches."""
+        """The number of batches in each step (a Poisson process); clients send operations in batches."""
         mean_batch_units = self.settings["mean_units"] * self.settings["batch"]
         return self.generator.poisson(steps.rates * STEP / mean_batch_units)
 
--- a/tests/lab/test_measurements.py
+++ b/tests/lab/test_measurements.py
@@ -1,4 +1,4 @@
-"""Measures of a day and the histograms behind them."""
+"""Measures of a day and their histograms."""
 
 import pytest
 
--- a/tests/lab/test_optimal_bound.py
+++ b/tests/lab/test_optimal_bound.py
@@ -1,4 +1,4 @@
-"""The upper bound on the fraction of operations served in time."""
+"""The upper bound on operations served in time."""
 
 from rushmux.lab import variants
 from rushmux.lab.day import draw_day
--- a/tests/lab/test_search.py
+++ b/tests/lab/test_search.py
@@ -1,4 +1,4 @@
-"""The search for the worst day is repeatable, and its result is shrunk, saved and replayed."""
+"""The search for the worst day is repeatable; its result can be shrunk and replayed."""
 
 import json
 
