--- a/rushmux/cli/fleet.py
+++ b/rushmux/cli/fleet.py
@@ -67,7 +67,7 @@
 @click.argument("node")
 @click.option("--wait", type=float, default=0.0, help="seconds to wait until the node may be stopped")
 def drain(planner: Planners, *, node: str, wait: float) -> None:
-    """Stops new work for a node; exits with 1 if the node may not be stopped after --wait."""
+    """Drains a node: it gets no new work; exits with 1 if it may not be stopped within --wait."""
     answer, deadline = run_command(planner, "drain", node), time.monotonic() + wait
     while True:
         row = row_of(answer, node)
--- a/rushmux/cli/local_fleet.py
+++ b/rushmux/cli/local_fleet.py
@@ -16,7 +16,7 @@
 from rushmux.standins.processes import HOST, ProcessFleet, ProcessStartError
 
 UNIT_TIME = 0.001
-"""Core seconds for one unit of work; short, since the fleet is meant to be used."""
+"""Core seconds for one unit of work; few, since this fleet is for actual use."""
 ENDPOINT_LAG = 0.5
 """Seconds until a change of the endpoint list is announced."""
 CHECK_INTERVAL = 0.5
--- a/rushmux/cli/serving.py
+++ b/rushmux/cli/serving.py
@@ -1,4 +1,4 @@
-"""Common options of the commands that run a server, and running it until it is stopped."""
+"""Options that all server commands share, and a function that runs a server until it is stopped."""
 
 import asyncio
 import functools
@@ -107,7 +107,7 @@
     Args:
         server: The server to run.
         options: Its address, and whether it ends with its parent.
-        supervisor: Of the server's tasks, if it has essential ones.
+        supervisor: Supervisor of the server's tasks, if some of them are essential.
         announced: Additional fields of the printed line.
 
     Raises:
