--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -39,7 +39,7 @@
 
 
 def parse_list(text: str) -> list[KnownRed]:
-    """Parses a list of tests; raises ValueError if it is invalid."""
+    """Parses a list; raises ValueError if it is invalid."""
     lines = [line for line in text.splitlines() if line.strip()]
     if len(lines) > MAX_LINES:
         raise ValueError(f"{len(lines)} lines; at most {MAX_LINES} are allowed")
--- a/benchmarks/buffer.py
+++ b/benchmarks/buffer.py
@@ -21,10 +21,10 @@
 
 EXAMPLE = json.loads(Path(deployment.__file__).with_name("example.json").read_text())
 UNIT_TIME = 0.015  # core seconds for one unit of work
-SETTLE_TIME = 5  # seconds after a workload, for the buffer to be flushed
+SETTLE_TIME = 5  # seconds for the buffer to flush after a workload
 WRITERS, FILES_PER_WRITER = 8, 30  # writers of small files, and files per writer
-FILE_BYTES = (2_000, 8_000)  # bounds of a size, the upper one exclusive
-FILE_RATE = 5  # a writer waits 1 / FILE_RATE seconds between files on average
+FILE_BYTES = (2_000, 8_000)  # range, end exclusive
+FILE_RATE = 5  # 1 / mean seconds between a writer's files
 STREAMS, STREAM_BYTES = 4, 2 << 20
 STREAM_WRITES = (4_096, 16_384, 65_536)  # bytes of a write
 RATE = 40  # reads, and writes to each folder, per second
@@ -43,8 +43,8 @@
 
     Attributes:
         times: Seconds of the calls that succeeded, by kind.
-        rejected: Number of calls that failed.
-        operations: Number of operations on nodes, including `writes` and `changes`.
+        rejected: Calls that failed.
+        operations: Operations on nodes, including `writes` and `changes`.
         counters: Counters of the first edge's buffer, if it is on.
     """
 
@@ -78,12 +78,12 @@
         self.add_time(kind, started_at)
 
     def add_time(self, kind, started_at):
-        """Records the time since `started_at` by the loop's clock."""
+        """Records the time since `started_at`."""
         self.times.setdefault(kind, []).append(self.loop.time() - started_at)
 
 
 async def small_files(run, fleet):
-    """Several clients write small files, each client one after the other."""
+    """Clients write small files one after the other."""
 
     async def writer(number):
         client = await fleet.client(0)
@@ -96,7 +96,7 @@
 
 
 def streams(write_bytes):
-    """Returns a workload in which clients write one long file each, one write at a time."""
+    """Returns a workload of clients that write one long file each, write by write."""
 
     async def workload(run, fleet):
         async def stream(number):
@@ -176,7 +176,7 @@
 
 
 def main():
-    """Runs and prints all workloads."""
+    """Prints all workloads."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=5)
     seeds = range(1, parser.parse_args().seeds + 1)
--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -155,7 +155,7 @@
 
 
 def main():
-    """Runs the benchmark and prints its table."""
+    """Prints the benchmark's table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seed", type=int, default=1)
@@ -172,7 +172,7 @@
                 "emulated": run_emulated(operations, options.seed + 1),
             }
         succeeded = {name: [time for time in sample if time is not None] for name, sample in times.items()}
-        # Consecutive times are correlated, and the test assumes independent ones: it gets every n-th.
+        # Consecutive times are correlated, but the test assumes independence: thin them out.
         stride = max(1, len(operations) // 300)
         test = stats.ks_2samp(succeeded["process"][::stride], succeeded["emulated"][::stride])
         for name, sample in succeeded.items():
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -45,7 +45,7 @@
 
 
 def run_seed(case, copies, seed, seconds):
-    """Returns times of all objects, outcomes, recordings and the deployment.
+    """Returns times, outcomes, recordings and the deployment.
 
     A failed object counts with the time of its hard stop.
     """
@@ -90,7 +90,7 @@
 
 
 def main():
-    """Runs the benchmark and prints its table."""
+    """Prints the benchmark's table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=30.0)
--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -155,7 +155,7 @@
 
 
 def main():
-    """Runs the benchmark and prints its table."""
+    """Prints the benchmark's table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--sessions", type=int, default=8)
     parser.add_argument("--seconds", type=float, default=3)
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -1,9 +1,8 @@
-"""Compares the scheduler simulation with real edges end to end, and measures how the simulation scales.
+"""Compares the scheduler simulation with real edges, and measures how it scales.
 
     python -m benchmarks.levels [--seeds N] [--scale]
 
-Each case runs the same operations through real edges with stand-in nodes on a virtual clock, and through the
-scheduler simulation.
+Both get the same operations; the real edges run with stand-in nodes on a virtual clock.
 """
 
 import argparse
@@ -52,7 +51,7 @@
 
 
 def run_simulation(raw, seed):
-    """Returns latencies, the fraction in time, and whether the rules were kept, for the scheduler alone."""
+    """Returns the simulation's latencies, fraction in time, and whether it kept the rules."""
     day = draw_day(raw, raw["variants"][0], seed)
     simulation = SchedulerSimulation(day.deployment, day.fleet, seed)
     simulation.run(day.arrivals, day.events, raw["seconds"])
@@ -65,7 +64,7 @@
 
 
 def run_real_edges(raw, seed):
-    """Returns the same for the same day through real edges."""
+    """Returns the same for real edges."""
     day = draw_day(raw, raw["variants"][0], seed)
     completed, standins = system_simulation.simulate(day, seed)
     request_classes = day.deployment.settings.request_classes
@@ -80,7 +79,7 @@
 
 
 def measure_scale(edges, nodes):
-    """Simulates a day of one minute and returns its table row; main() runs each size in its own process."""
+    """Returns the table row of a one-minute day; each runs in its own process."""
     raw = make_experiment(
         "scale", 0.6, ["silent node at 10 for 6", "restart nodes 20% at 30 for 3"], edges, nodes, 60.0
     )
@@ -102,7 +101,7 @@
 
 
 def main():
-    """Runs the benchmark and prints its table."""
+    """Prints the benchmark's table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--scale", action="store_true", help="measure the scale curve instead of the cases")
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,4 +1,4 @@
-"""Measures the platform gateway by the size of its endpoint list: scheduler rounds, startup and memory.
+"""Measures the platform's gateway by endpoint list size: scheduler rounds, startup and memory.
 
 python -m benchmarks.members
 """
@@ -30,16 +30,16 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 SIZES = 64, 256, 1_024
-"""Numbers of nodes, which are also those of shards and of gateways."""
+"""Numbers of nodes, and of shards and gateways."""
 OPERATIONS = 2_000
 """Operations of each case."""
 VOLUMES = 50
 OPERATION_INTERVAL = 20
 """Ticks between two operations."""
 WARM_UP_TIME = 300_000
-"""Ticks for which a node is in slow start, longer than a case."""
+"""Ticks of a node's slow start; longer than a case."""
 START = 10_000
-"""Time in ticks at which a case begins."""
+"""Ticks at which a case begins."""
 OPERATION_TIME_LEFT = 10_000
 """Ticks until an operation's deadline."""
 PORT = 27_381
@@ -56,7 +56,7 @@
     is_slow_start: bool
     list_ms: float
     median_us: float
-    """Microseconds for an operation's two rounds."""
+    """Of an operation's two rounds."""
     p99_us: float
 
 
@@ -64,12 +64,12 @@
     """Cost of a gateway process."""
 
     ready_s: float
-    """Seconds until the first PONG."""
+    """Until the first PONG."""
     peak_mb: float
 
 
 class RecordingActions:
-    """Records the attempts that the scheduler starts, and ignores its other actions."""
+    """Records started attempts and ignores other actions."""
 
     def __init__(self):
         self.started: list[str] = []
@@ -83,7 +83,7 @@
 
 
 def measure_scheduler(size: int) -> Iterator[SchedulerCost]:
-    """Yields the cost with warmed-up nodes, then with nodes in slow start."""
+    """Yields the cost with warm nodes, then in slow start."""
     scheduler_settings = scheduler_settings_of(settings(gateways=size, shards=size))._replace(
         warm_up_time=WARM_UP_TIME, slow_start_units=200 * size
     )
@@ -123,7 +123,7 @@
 
 
 async def measure_process(size: int) -> ProcessCost:
-    """Starts a gateway process and measures it."""
+    """Measures a gateway process."""
     node, discovery, loop = FakeNode(), FakeDiscovery(), asyncio.get_running_loop()
     await node.open()
     await discovery.open()
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,4 +1,4 @@
-"""Measures rebalancing: moves against the minimum, balance, and planning time for up to 1,000 cells.
+"""Measures rebalancing of up to 1,000 cells: moves against the minimum, balance and time.
 
 python -m benchmarks.placement [--seed N]
 """
@@ -31,7 +31,7 @@
 
 
 class Case(NamedTuple):
-    """Cells with their current nodes, and the nodes now available."""
+    """Cells on their current nodes, and the available nodes."""
 
     name: str
     cells: Sequence[Cell]
@@ -51,7 +51,7 @@
 
 
 def draw_nodes(rng: random.Random, count: int, first: int = 0) -> list[Node]:
-    """Draws nodes with numbers from `first` up to, but not including, `count`."""
+    """Draws nodes `first` to `count - 1`."""
     return [
         Node(f"n{number}", rng.choice(CAPACITIES), f"z{number % ZONES}") for number in range(first, count)
     ]
@@ -60,8 +60,7 @@
 def min_moves(cells: Sequence[Cell], nodes: Sequence[Node], peak: float) -> int:
     """Returns the minimum number of cells that must move.
 
-    These are all cells without an available node and, per node, the heaviest until its utilization is at most
-    `peak`.
+    These are cells without an available node, and a node's heaviest until it is at most `peak` full.
     """
     capacity = {node.name: node.capacity for node in nodes}
     moved = 0
--- a/benchmarks/planner.py
+++ b/benchmarks/planner.py
@@ -28,11 +28,11 @@
 NODES = 47
 START_TIME = 5.0  # seconds until everything is up
 DEATHS = 5  # also the number of drains
-IDLE_TIME = 20.0  # seconds of reports only, to measure the idle cost
+IDLE_TIME = 20.0  # seconds without changes, to measure the idle cost
 
 
 async def send_reports(name, cell, port, loop):
-    """Reports to the planner as a node, and does nothing else."""
+    """Reports to the planner as a node."""
     _, writer = await asyncio.open_connection(HOST, port)
     writer.write(frame(messages.Message(hello=messages.Hello(version=VERSION, peer=name, start="1"))))
     while True:
@@ -62,7 +62,7 @@
 
 
 class Trial:
-    """A planner, nodes that only report, and edges' planner clients, on a virtual clock."""
+    """One run with a fixed number of edges."""
 
     def __init__(self, loop, edges, seed, folder):
         self.loop, self.edges, self.seed = loop, edges, seed
@@ -102,19 +102,19 @@
             informed.setdefault(number, self.loop.time())
 
     async def all_informed(self, node, state, poll):
-        """Waits until every edge knows a node's state, and returns when the last one learned of it."""
+        """Waits until every edge knows a node's state; returns when the last one learned it."""
         while len(self.informed.get((node, state), ())) < self.edges:
             await asyncio.sleep(poll)
         return max(self.informed[node, state].values())
 
     async def idle_cost(self):
-        """Returns the fraction of a core and the bytes per second used while nothing changes."""
+        """Returns CPU fraction and bytes per second while nothing changes."""
         self.bytes_sent, cpu_started_at = 0, time.process_time()
         await asyncio.sleep(IDLE_TIME)
         return (time.process_time() - cpu_started_at) / IDLE_TIME, self.bytes_sent / IDLE_TIME
 
     async def kill_nodes(self):
-        """Returns the seconds from each node's death until the last edge knows."""
+        """Returns seconds from a node's death until the last edge knows."""
         removals, rng = [], random.Random(self.seed)
         for name in rng.sample(sorted(self.nodes), DEATHS):
             await asyncio.sleep(rng.uniform(1, 3))
@@ -124,7 +124,7 @@
         return removals
 
     async def drain_nodes(self):
-        """Returns the seconds from each drain until the last edge knows, and until the node is released."""
+        """Returns seconds from a drain until the last edge knows, and until the node is released."""
         drains, releases = [], []
         for name in [name for name in sorted(self.nodes) if not self.nodes[name].dead][:DEATHS]:
             requested_at = self.loop.time()
@@ -136,7 +136,7 @@
         return drains, releases
 
     async def restart_planner(self):
-        """Returns the seconds from the planner's restart until the last edge has its list."""
+        """Returns seconds from a planner's restart until the last edge has its list."""
         self.process.kill()
         self.informed.clear()
         await asyncio.sleep(2)
@@ -149,7 +149,7 @@
 
 
 def measure(edges, seed, folder):
-    """Runs a trial with `edges` edges and returns its results."""
+    """Runs a trial and returns its results."""
 
     async def run_trial(loop):
         trial = Trial(loop, edges, seed, folder)
@@ -166,7 +166,7 @@
 
 
 def main():
-    """Runs the benchmark and prints its table."""
+    """Prints the benchmark's table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seed", type=int, default=1)
     seed = parser.parse_args().seed
--- a/benchmarks/planner_kills.py
+++ b/benchmarks/planner_kills.py
@@ -63,7 +63,7 @@
 
 
 def main():
-    """Runs the benchmark and prints its table."""
+    """Prints the result."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--runs", type=int, default=70)
     parser.add_argument("--seed", type=int, default=1)
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,8 +1,7 @@
 """Measures the rollout of policy changes.
 
-Covers a change with real planners and 10, 100 and 300 edges; mutants and baselines in simulation; the model
-checker beyond the tests' bounds; answers during changes; a planner's start by the size of its log; the use of
-a limit.
+Covers a change over real planners at 10, 100 and 300 edges; mutants and baselines in simulation; the model
+checker beyond the tests' bounds; answers during changes; a planner's start by log size; a limit's use.
 
     python -m benchmarks.policy change | defects | baselines | states | service | start | use PLOT.svg
 """
@@ -47,7 +46,7 @@
 
 
 class Member:
-    """Stands in for an edge: the real `PolicyMember` on a real connection, without clients."""
+    """An edge's `PolicyMember` on a real connection, without clients."""
 
     def __init__(self, number, addresses, rng):
         self.name, self.addresses, self.rng = f"edge{number}", addresses, rng
@@ -56,7 +55,7 @@
         self.task, self.active_since, self.connect_attempts = None, {}, 0
 
     async def run(self):
-        """Keeps a connection to some planner and processes grants, until cancelled."""
+        """Stays connected to some planner and processes grants, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             writer = requesting = None
@@ -87,7 +86,7 @@
             await asyncio.sleep(RECONNECT_DELAY)
 
     async def request_leases(self, writer):
-        """Sends lease requests on a connection, until cancelled."""
+        """Sends lease requests until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(REQUEST_INTERVAL * (1 - 0.5 * self.rng.random()))
@@ -98,7 +97,7 @@
 
 
 def cpu_time(planner):
-    """Returns the CPU seconds that a planner's process has used."""
+    """Returns the CPU seconds of a planner's process."""
     fields = Path(f"/proc/{planner.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -197,7 +196,7 @@
 
 
 def violation_of(seed, parts):
-    """Returns words of the violation that a seed ends with, or None."""
+    """Returns words of a seed's violation, or None."""
     try:
         policy_simulation.run_seed(seed, parts=parts)
     except InvariantViolationError as error:
@@ -208,7 +207,7 @@
 def seeds_until_found(mutant):
     """Returns the mutant, seeds until it was found, CPU seconds and the violation.
 
-    With None for the mutant, nodes do no fencing.
+    None as mutant: nodes do no fencing.
     """
     started_at = time.process_time()
     for seed in range(MAX_SEEDS):
@@ -250,10 +249,9 @@
 
 
 def count_answers(job):
-    """Returns a simulated fleet's answers in each second, and the results of its changes.
+    """Returns a simulated fleet's answers per second, and the results of its changes.
 
-    `job`: the number of edges, how many of them crash before, and the number of changes to a limit that is
-    never reached.
+    `job`: number of edges, of crashed ones, and of changes to a limit that is never reached.
     """
     edges, down, changes = job
 
@@ -288,7 +286,7 @@
 
 
 def service():
-    """Prints answers with and without changes, and with and without crashed edges."""
+    """Prints answers with and without changes and crashed edges."""
     jobs = [
         (edges, round(edges * away), changes) for edges in (10, 20) for away in (0, 0.1) for changes in (0, 5)
     ]
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -2,8 +2,7 @@
 
     python benchmarks/recovery.py [--most 64]
 
-The log is written as an edge writes it: packets of 4 KiB over 64 files in 8 folders.  Its size is that of the
-data, in MiB.
+The log is as an edge writes it: packets of 4 KiB over 64 files in 8 folders; its size is MiB of data.
 """
 
 import argparse
@@ -53,7 +52,7 @@
 
 
 def measure_recovery(size):
-    """Returns the seconds until an edge with such a log serves, and the bytes recovered."""
+    """Returns seconds until an edge with such a log serves, and bytes recovered."""
     with tempfile.TemporaryDirectory() as folder:
         disk = SegmentFolder(folder)
         write_log(disk, size)
@@ -72,7 +71,7 @@
 
 
 def main():
-    """Runs the benchmark and prints its table."""
+    """Prints the benchmark's table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--most", type=int, default=64)
     size = 1
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -25,7 +25,7 @@
 
 
 def make_deployment(lanes, plans):
-    """Returns a raw deployment with a route for each of many lanes and plans."""
+    """Returns a raw deployment with a route per lane and plan."""
     raw = copy.deepcopy(EXAMPLE)
     for number in range(lanes):
         raw["lanes"][f"l{number}"] = dict(raw["lanes"]["lectura"])
@@ -57,7 +57,7 @@
 
 
 def main():
-    """Runs the benchmark and prints its table."""
+    """Prints the benchmark's table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--draws", type=int, default=400)
     parser.add_argument("--schedules", type=int, default=60)
--- a/rushmux/cli/connect.py
+++ b/rushmux/cli/connect.py
@@ -1,4 +1,4 @@
-"""`rushmux connect`: relays standard input and output to an edge."""
+"""`rushmux connect`: a relay to an edge."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 
 async def _relay(address: Address) -> None:
-    """Copies data in both directions until the edge closes the connection."""
+    """Copies data in both directions until the edge closes."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError as error:
--- a/rushmux/cli/fleet.py
+++ b/rushmux/cli/fleet.py
@@ -50,13 +50,13 @@
 
 @click.group()
 def fleet() -> None:
-    """Shows nodes and edges as the planner knows them, and drains nodes."""
+    """Shows nodes and edges that a planner knows; drains nodes."""
 
 
 @fleet.command()
 @PLANNER
 def show(planner: Planners) -> None:
-    """Shows every member, its condition and the reason."""
+    """Shows every member's condition and its reason."""
     from rushmux.planner import admin_client
 
     click.echo("\n".join(admin_client.format_fleet(run_command(planner, "show"))))
@@ -67,7 +67,7 @@
 @click.argument("node")
 @click.option("--wait", type=float, default=0.0, help="seconds to wait until the node may be stopped")
 def drain(planner: Planners, *, node: str, wait: float) -> None:
-    """Drains a node: it gets no new work; exits with 1 if it may not be stopped within --wait."""
+    """Stops new work for a node; exits with 1 if it may not be stopped within --wait."""
     answer, deadline = run_command(planner, "drain", node), time.monotonic() + wait
     while True:
         row = row_of(answer, node)
--- a/rushmux/cli/lab.py
+++ b/rushmux/cli/lab.py
@@ -64,7 +64,7 @@
 
 
 def _show_progress(text: str) -> None:
-    """Prints progress to standard error; on a terminal, each line overwrites the previous one."""
+    """Prints progress to standard error; on a terminal, over the previous line."""
     if sys.stderr.isatty():
         click.echo(f"{text:{PROGRESS_WIDTH}}\r", err=True, nl=False)
     else:
--- a/rushmux/cli/planner.py
+++ b/rushmux/cli/planner.py
@@ -81,7 +81,7 @@
 def _replication_settings(
     planners: dict[str, Address], name: str, log_path: str, seed: int | None, bootstrap: bool
 ) -> "ReplicationSettings":
-    """Returns the settings for replicating the log with the other planners."""
+    """Returns a planner's settings for log replication."""
     from rushmux.planner.replication_settings import ReplicationSettings
 
     if name not in planners:
--- a/rushmux/cli/policy.py
+++ b/rushmux/cli/policy.py
@@ -20,7 +20,7 @@
 WAIT = click.option("--wait", type=float, default=0.0, help="seconds to wait for the change to end")
 
 State = dict[str, Any]
-"""The policy's state, the JSON object that the planner sends."""
+"""The policy's state, a JSON object from the planner."""
 
 
 def request(planner: Planners, verb: str, **fields: Any) -> tuple[str, State]:
@@ -36,7 +36,7 @@
 
 
 def run_command(planner: Planners, verb: str, **fields: Any) -> str:
-    """Sends a command with a new idempotency key, so that a resend after a lost answer has no effect.
+    """Sends a command under a new idempotency key, so that a resend has no effect.
 
     Prints and returns the result; exits with 1 if the command was refused.
     """
@@ -48,7 +48,7 @@
 
 
 def format_state(state: State) -> list[str]:
-    """Formats the policy's state, and the policy that each member applies, as plain text."""
+    """Formats the state of the policy and its members as text."""
     active, staged = state["force"], state["staged"]
     lines = [
         f"in force: {active['number'] if active else 'none'}; under way: "
@@ -68,7 +68,7 @@
 
 
 def await_change(planner: Planners, number: int, seconds: float) -> None:
-    """Waits until a change has ended; exits with 1 if it took hold nowhere, 2 if it is still under way."""
+    """Waits for a change to end; exits with 1 if it took hold nowhere, 2 if it is still under way."""
     deadline = time.monotonic() + seconds
     while True:
         _, state = request(planner, "show")
@@ -172,7 +172,7 @@
 
 
 def _other_policy(state: State, file: str | None, past: int | None) -> tuple[str, str]:
-    """Returns the text and name of the policy to compare with: an earlier version, or a file's."""
+    """Returns the text and name of the policy to compare with."""
     from rushmux.settings import policy as documents
 
     if past is not None:
@@ -186,7 +186,7 @@
 
 
 def _indented_lines(text: str) -> list[str]:
-    """Returns a policy's JSON as lines with sorted keys, for a diff."""
+    """Returns JSON as lines with sorted keys, for a diff."""
     return json.dumps(json.loads(text), indent=1, sort_keys=True, ensure_ascii=False).splitlines()
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -13,7 +13,7 @@
 
 
 def run_script(folder, text, *options):
-    """Runs the script in a temporary tree; returns its exit code, options and standard error."""
+    """Returns the script's exit code, options and errors in a temporary tree."""
     (folder / ".ci").mkdir()
     (folder / "tests").mkdir()
     (folder / ".ci" / "known_red.py").write_text(SCRIPT.read_text())
