--- a/rushmux/lab/load.py
+++ b/rushmux/lab/load.py
@@ -63,7 +63,7 @@
     """Sends the first `seconds` of a day to running edges.
 
     Raises:
-        NotServedError: An edge accepts no session, or a folder no file.
+        LoadTargetError: An edge accepts no session, or a folder no file.
     """
     without_faults = {**experiment, "seconds": seconds, "troubles": []}
     arrivals = draw_day(without_faults, experiment["variants"][0], seed).arrivals
