--- a/rushmux/gateway/commands.py
+++ b/rushmux/gateway/commands.py
@@ -24,7 +24,7 @@
 )
 TIME_LEFT_GROUP = 3
 """Index of the group of OPTIONS that holds the time left."""
-MILLISECONDS_PER_SECOND = 1000
+MS_PER_SECOND = 1000
 
 
 class Command(NamedTuple):
@@ -78,7 +78,7 @@
         int(cell),
         int(gateway_count),
         bool(retry_mark),
-        milliseconds / MILLISECONDS_PER_SECOND,
+        milliseconds / MS_PER_SECOND,
         name,
         block,
         options[: match.start(TIME_LEFT_GROUP)],
@@ -106,7 +106,7 @@
 def _validate_figures(command: Command, milliseconds: int, config: GatewayConfig) -> None:
     settings = config.settings
     time_limit = settings.request_classes[command.request_class].deadline + settings.round_interval
-    if not 0 < milliseconds * TICKS_PER_SECOND // MILLISECONDS_PER_SECOND <= time_limit:
+    if not 0 < milliseconds * TICKS_PER_SECOND // MS_PER_SECOND <= time_limit:
         raise InvalidCommandError(f"a time of {milliseconds} ms", milliseconds)
     if not 0 < command.units <= settings.max_units:
         raise InvalidCommandError("a figure out of range", command.units)
--- a/rushmux/gateway/config.py
+++ b/rushmux/gateway/config.py
@@ -17,7 +17,7 @@
 
 MAX_FILE_BYTES = 8 << 20
 """Large enough for an endpoint list of thousands of nodes."""
-NANOSECONDS_PER_SECOND = 1_000_000_000
+NS_PER_SECOND = 1_000_000_000
 
 
 class GatewayConfig(NamedTuple):
@@ -79,8 +79,8 @@
         settings=scheduler_settings_of(env),
         shard_count=extra["SlotsTotal"],
         max_operations=limits["MostHeld"],
-        connect_timeout=limits["DialTimeout"] / NANOSECONDS_PER_SECOND,
-        idle_timeout=limits["ConnIdle"] / NANOSECONDS_PER_SECOND,
+        connect_timeout=limits["DialTimeout"] / NS_PER_SECOND,
+        idle_timeout=limits["ConnIdle"] / NS_PER_SECOND,
         allows_retry_mark=bool(env.get("ClientHabits", {}).get("MarksRetry")),
         is_write={
             row["Name"]: bool(writes)
--- a/rushmux/gateway/discovery_connection.py
+++ b/rushmux/gateway/discovery_connection.py
@@ -21,8 +21,7 @@
 RESPONSE_TIMEOUT = 2.5
 """Seconds from the request until its response must be complete."""
 MAX_RESPONSE_BYTES = 8 << 20
-MILLISECONDS = 1000
-"""In a second."""
+MS_PER_SECOND = 1000
 STATUS_OK = 200
 REJECTED_STATUSES = range(400, 500)
 """They reject the request: discovery does not know the version."""
@@ -59,7 +58,7 @@
         host, port = self.address
         target = PATH
         if version is not None:
-            target = f"{PATH}?after={version}&wait_ms={int(WATCH_TIMEOUT * MILLISECONDS)}"
+            target = f"{PATH}?after={version}&wait_ms={int(WATCH_TIMEOUT * MS_PER_SECOND)}"
         request = h11.Request(method="GET", target=target, headers=[("Host", f"{host}:{port}")])
         self.transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
         self.requested_at = loop.time()
--- a/rushmux/gateway/endpoints.py
+++ b/rushmux/gateway/endpoints.py
@@ -7,8 +7,7 @@
 from rushmux.scheduling.interface import EndpointState
 
 MAX_PORT = 65_535
-MILLISECONDS = 1000
-"""In a second."""
+MS_PER_SECOND = 1000
 STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
 """Endpoint states by discovery's names for them."""
 MALFORMED_JSON_ERRORS = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)
@@ -84,7 +83,7 @@
         str(row.get("zone", "")),
         int(row["cell"]),
         STATES[state],
-        float(row.get("started_ms", 0)) / MILLISECONDS,
+        float(row.get("started_ms", 0)) / MS_PER_SECOND,
     )
 
 
--- a/rushmux/gateway/node_connection.py
+++ b/rushmux/gateway/node_connection.py
@@ -20,8 +20,7 @@
 
 MAX_PARTIAL_REPLY_BYTES = 24 << 20
 """Bytes of all incomplete replies together: sixty of the largest seen."""
-MILLISECONDS = 1000
-"""In a second."""
+MS_PER_SECOND = 1000
 
 
 class NodeIncarnation(NamedTuple):
@@ -136,7 +135,7 @@
         attempt.connection = self
         attempt.written = True
         time_left = attempt.deadline - self.endpoint.pool.loop.time()
-        milliseconds = max(1, -int(-time_left * MILLISECONDS // 1))
+        milliseconds = max(1, -int(-time_left * MS_PER_SECOND // 1))
         self.transport.write(encode_command(attempt.build_command(milliseconds)))
 
     def has_unread_input(self) -> bool:
--- a/rushmux/gateway/server.py
+++ b/rushmux/gateway/server.py
@@ -32,7 +32,7 @@
 """Seconds to wait for the first endpoint list; a working discovery agent answers at once."""
 STATS_INTERVAL = 30.0
 """Seconds between two log lines with the counters."""
-MILLISECONDS_PER_SECOND = 1000
+MS_PER_SECOND = 1000
 FAILED, BUSY = b"-ERR failed\r\n", b"-BUSY\r\n"
 
 
@@ -137,7 +137,7 @@
         if answer is FinalAnswer.SUCCEEDED:
             pending.complete(encode_bulk(value))
         elif answer is FinalAnswer.SHED:
-            milliseconds = -(-retry_after * MILLISECONDS_PER_SECOND // TICKS_PER_SECOND)
+            milliseconds = -(-retry_after * MS_PER_SECOND // TICKS_PER_SECOND)
             pending.complete(b"-BUSY %d\r\n" % milliseconds if retry_after else BUSY)
         else:
             pending.complete(FAILED)
--- a/rushmux/routes/bounds.py
+++ b/rushmux/routes/bounds.py
@@ -9,7 +9,7 @@
 from rushmux.scheduling.interface import RequestClass, SchedulerSettings, Ticks
 from rushmux.scheduling.node import ANSWER_CREDIT
 
-END_MARGIN = 2  # rounds before its deadline at which the scheduler ends an operation
+ANSWER_MARGIN = 2  # rounds before its deadline at which the scheduler ends an operation
 
 
 class Bounds(NamedTuple):
@@ -47,7 +47,7 @@
 
 def time_in_scheduler(bounds: Bounds, request_class: RequestClass) -> Ticks:
     """Returns how long an operation may be queued or in flight."""
-    return max(0, request_class.deadline - END_MARGIN * bounds.settings.round_interval)
+    return max(0, request_class.deadline - ANSWER_MARGIN * bounds.settings.round_interval)
 
 
 def latest_answer_time(bounds: Bounds, request_class: RequestClass) -> Ticks:
@@ -61,7 +61,7 @@
 
 def longest_attempt(interval: Ticks, route: ResolvedRoute) -> Ticks:
     """Returns how long one attempt may take."""
-    remaining = route.request_class.deadline - END_MARGIN * interval
+    remaining = route.request_class.deadline - ANSWER_MARGIN * interval
     return max(0, min(route.policy.attempt_timeout, remaining))
 
 
--- a/rushmux/routes/fleet_checks.py
+++ b/rushmux/routes/fleet_checks.py
@@ -1,7 +1,7 @@
 """Checks of a whole deployment: deadlines, drains, slow start, retry budgets, capacity."""
 
 from rushmux.routes.bounds import (
-    END_MARGIN,
+    ANSWER_MARGIN,
     Bounds,
     latest_answer_time,
     longest_connect_wait,
@@ -21,7 +21,7 @@
     """
     interval, classes = bounds.settings.round_interval, bounds.settings.request_classes.values()
     late = [each for each in classes if latest_answer_time(bounds, each) > each.deadline]
-    by_network = [each for each in late if each.deadline > END_MARGIN * interval]
+    by_network = [each for each in late if each.deadline > ANSWER_MARGIN * interval]
     found = []
     for request_class in late:
         if request_class not in by_network:
--- a/rushmux/routes/route_checks.py
+++ b/rushmux/routes/route_checks.py
@@ -1,6 +1,6 @@
 """Checks of one route: whether its attempts, hedged requests and retries can keep the rules."""
 
-from rushmux.routes.bounds import END_MARGIN, Bounds, longest_connect_wait
+from rushmux.routes.bounds import ANSWER_MARGIN, Bounds, longest_connect_wait
 from rushmux.routes.findings import Finding, Rule, Step, format_ms
 from rushmux.routes.resolve import ResolvedRoute
 from rushmux.scheduling.interface import DedupScope, Idempotency, Ticks
@@ -11,7 +11,7 @@
     policy, request_class = route.policy, route.request_class
     last = (count - 1) * (policy.attempt_timeout + interval + policy.retry_delay)
     ends = last + policy.attempt_timeout
-    if ends > request_class.deadline - END_MARGIN * interval:
+    if ends > request_class.deadline - ANSWER_MARGIN * interval:
         return False
     return count == 1 or last < request_class.latency_objective
 
@@ -19,7 +19,7 @@
 def _suggest_fit(route: ResolvedRoute, count: int, interval: Ticks) -> str:
     """Suggests a timeout or a number of attempts that fits."""
     policy, request_class = route.policy, route.request_class
-    stop = request_class.deadline - END_MARGIN * interval
+    stop = request_class.deadline - ANSWER_MARGIN * interval
     timeout = (stop - (count - 1) * (interval + policy.retry_delay)) // count
     if count > 1:
         by_objective = (request_class.latency_objective - 1) // (count - 1) - interval - policy.retry_delay
@@ -40,7 +40,7 @@
         lost = f"its time-out of {format_ms(policy.attempt_timeout)} is noticed, one tick late"
         steps.append(Step(number * step - policy.retry_delay, lost))
         steps.append(Step(number * step, f"execution {number + 1} is sent"))
-    stop = deadline - END_MARGIN * interval
+    stop = deadline - ANSWER_MARGIN * interval
     steps.append(Step(stop, f"two ticks before the hard stop of {format_ms(deadline)} the operation ends"))
     steps.append(Step((count - 1) * step + policy.attempt_timeout, "the last execution would time out"))
     return tuple(steps)
@@ -56,7 +56,7 @@
     if attempts_fit(route, count, interval):
         return None
     last = (count - 1) * (policy.attempt_timeout + interval + policy.retry_delay)
-    end, stop = last + policy.attempt_timeout, request_class.deadline - END_MARGIN * interval
+    end, stop = last + policy.attempt_timeout, request_class.deadline - ANSWER_MARGIN * interval
     objective = request_class.latency_objective
     if end > stop:
         worst, bound = end, stop
@@ -116,7 +116,7 @@
     request_class, interval = route.request_class, bounds.settings.round_interval
     hedge_after = route.policy.hedge_after
     answered = hedge_after + interval + 2 * bounds.network_delay
-    awaited = min(request_class.latency_objective, request_class.deadline - END_MARGIN * interval)
+    awaited = min(request_class.latency_objective, request_class.deadline - ANSWER_MARGIN * interval)
     if answered < awaited:
         return None
     latest = awaited - 1 - interval - 2 * bounds.network_delay
--- a/rushmux/scheduling/limit_bucket.py
+++ b/rushmux/scheduling/limit_bucket.py
@@ -4,7 +4,7 @@
 each gateway enforces the limit on its own, whatever restarts or is lost, late or misreported.
 """
 
-from rushmux.scheduling.records import NEVER, SECOND
+from rushmux.scheduling.records import NEVER, TICKS_PER_SECOND
 
 ROUNDING = 1e-6  # units: tolerance for rounding errors of float sums
 
@@ -40,14 +40,14 @@
 
     def advance(self, now):
         """Refills the bucket up to now."""
-        elapsed, self.updated_at = (now - self.updated_at) / SECOND, now
+        elapsed, self.updated_at = (now - self.updated_at) / TICKS_PER_SECOND, now
         self.level = min(self.capacity - self.reserved, self.level + self.rate * elapsed)
 
     def release_time(self, units, now):
         """Returns when to check for units; `now` if there are enough."""
         if not self.plan.limit or self.level >= units:
             return now
-        return now + 1 + int((units - self.level) / self.rate * SECOND) if self.rate else NEVER
+        return now + 1 + int((units - self.level) / self.rate * TICKS_PER_SECOND) if self.rate else NEVER
 
     def reserve(self, units):
         """Reserves units."""
@@ -67,4 +67,4 @@
             return self.updated_at
         if self.reserved or not self.rate:
             return NEVER
-        return self.updated_at + 1 + int((self.capacity - self.level) / self.rate * SECOND)
+        return self.updated_at + 1 + int((self.capacity - self.level) / self.rate * TICKS_PER_SECOND)
--- a/rushmux/scheduling/records.py
+++ b/rushmux/scheduling/records.py
@@ -14,7 +14,7 @@
 
 NEVER: Ticks = UNLIMITED
 """Later than any time."""
-SECOND: Ticks = 10_000
+TICKS_PER_SECOND: Ticks = 10_000
 
 
 class EndedOperation(NamedTuple):
--- a/rushmux/scheduling/structures.py
+++ b/rushmux/scheduling/structures.py
@@ -53,9 +53,9 @@
         self.bins[place] += amount
         self.decayed_sum += amount
 
-    def mean_rate(self, second: Ticks) -> float:
-        """Returns the unweighted sum per `second` ticks."""
-        return sum(self.bins) * second / (self.bin_width * len(self.bins))
+    def mean_rate(self, period: Ticks) -> float:
+        """Returns the unweighted rate, per `period` ticks."""
+        return sum(self.bins) * period / (self.bin_width * len(self.bins))
 
 
 class DoublingHistogram:
--- a/rushmux/scheduling/volume.py
+++ b/rushmux/scheduling/volume.py
@@ -4,7 +4,7 @@
 
 from rushmux.scheduling.interface import AttemptResult, VolumeEvent
 from rushmux.scheduling.limit_bucket import LimitBucket
-from rushmux.scheduling.records import NEVER, SECOND
+from rushmux.scheduling.records import NEVER, TICKS_PER_SECOND
 from rushmux.scheduling.structures import DecayingWindow
 
 BIN_WIDTH = 2_500  # ticks: a bin of the usage average
@@ -54,8 +54,10 @@
 
     def advance(self, now):
         """Refills the buckets and ages the usage average up to now."""
-        elapsed, self.updated_at = (now - self.updated_at) / SECOND, now
-        remote_time = min(elapsed, max(0, (self.metered_at + REMOTE_USAGE_AGE - now) / SECOND + elapsed))
+        elapsed, self.updated_at = (now - self.updated_at) / TICKS_PER_SECOND, now
+        remote_time = min(
+            elapsed, max(0, (self.metered_at + REMOTE_USAGE_AGE - now) / TICKS_PER_SECOND + elapsed)
+        )
         self.reserve = min(self.reserve_cap, self.reserve + self.plan.reserve * elapsed)
         self._charge_reserve(self.remote_usage_rate * remote_time)
         self.limit.advance(now)
@@ -63,7 +65,11 @@
 
     def deadline(self, units, now):
         """Returns when the reserve bucket had or will have the units."""
-        return now - int((self.reserve - units) / self.plan.reserve * SECOND) if self.plan.reserve else NEVER
+        return (
+            now - int((self.reserve - units) / self.plan.reserve * TICKS_PER_SECOND)
+            if self.plan.reserve
+            else NEVER
+        )
 
     def reserve_limit(self, operation):
         """Reserves units of an operation's first attempt."""
@@ -92,6 +98,6 @@
         if period and fleet_usage:
             fleet_rate = (fleet_usage - 1) / 100 * self.plan.nominal
             self.metered_at = now
-            self.remote_usage_rate = max(0.0, fleet_rate - self.usage.mean_rate(SECOND))
+            self.remote_usage_rate = max(0.0, fleet_rate - self.usage.mean_rate(TICKS_PER_SECOND))
         elif not period:
             self._charge_reserve(remote_usage)
--- a/rushmux/settings/platform.py
+++ b/rushmux/settings/platform.py
@@ -8,14 +8,14 @@
 
 TICK_NS = 100_000
 """Nanoseconds in a tick."""
-NS_PER_MILLISECOND = 1_000_000
+NS_PER_MS = 1_000_000
 IDEMPOTENCY = {
     "safe": Idempotency.IDEMPOTENT,
     "keyed": Idempotency.KEYED,
     "unsafe": Idempotency.NOT_IDEMPOTENT,
 }
 """By the platform's names."""
-LOAD_COLUMNS = {"backlog": 1, "recent_ms": NS_PER_MILLISECOND / TICK_NS}
+LOAD_COLUMNS = {"backlog": 1, "recent_ms": NS_PER_MS / TICK_NS}
 """Columns of a load report that the scheduler uses, with the factors to its units."""
 
 
--- a/tests/edge/test_cold_fleet.py
+++ b/tests/edge/test_cold_fleet.py
@@ -24,7 +24,7 @@
     SchedulerSettings,
     UpdateKind,
 )
-from rushmux.scheduling.records import SECOND
+from rushmux.scheduling.records import TICKS_PER_SECOND
 from rushmux.scheduling.scheduler import Scheduler
 
 MEAN_UNITS, COLD_SPAN, START_CAPACITY, WARM_TIME, COLD_MULTIPLE = 2.2, 30_000, 0.17, 160_000, 3.0
@@ -48,7 +48,7 @@
         self.cells, self.rate, self.demand, self.seed = cells, rate, demand, seed
         cold_units = calls * MEAN_UNITS
         # In units per second, when warm.
-        self.full_capacity = cold_units / COLD_UNITS_FACTOR / (COLD_SPAN / SECOND) / START_CAPACITY
+        self.full_capacity = cold_units / COLD_UNITS_FACTOR / (COLD_SPAN / TICKS_PER_SECOND) / START_CAPACITY
         self.settings = SchedulerSettings(
             REQUEST_CLASSES,
             PLANS,
@@ -65,7 +65,7 @@
             COLD_MULTIPLE,
             START_CAPACITY,
             WARM_TIME,
-            SECOND,
+            TICKS_PER_SECOND,
             0,
             None,
             0,
@@ -77,9 +77,11 @@
         self.gateways = [None] * gateways
         for number in range(gateways):
             self.schedule(self.rng.randrange(100), self.start, number, seed)
-            self.schedule(100 + self.rng.randrange(SECOND), self.submit_request, number)
+            self.schedule(100 + self.rng.randrange(TICKS_PER_SECOND), self.submit_request, number)
             if restarted:
-                self.schedule(self.cold_at + self.rng.randrange(2 * SECOND), self.start, number, seed + 1_000)
+                self.schedule(
+                    self.cold_at + self.rng.randrange(2 * TICKS_PER_SECOND), self.start, number, seed + 1_000
+                )
             if not listed_cold:
                 self.schedule(COLD_START_AT + self.rng.randrange(3_000), self.apply_delta, number)
 
@@ -125,7 +127,9 @@
 
     def submit_request(self, number):
         self.schedule(
-            self.now + 1 + int(self.rng.expovariate(self.rate) * SECOND), self.submit_request, number
+            self.now + 1 + int(self.rng.expovariate(self.rate) * TICKS_PER_SECOND),
+            self.submit_request,
+            number,
         )
         scheduler, name = self.gateways[number].scheduler, f"o{next(self.order)}"
         cell, everywhere = self.demand(self.rng, self.now, number)
@@ -144,7 +148,7 @@
     def serve(self, units, until):
         """Serves a call that arrived at the cold node; returns its end, or None if it is after `until`."""
         self.arrivals.append((self.now, units / MEAN_UNITS))
-        done = max(self.busy_until, self.now) + units / self.capacity(self.now) * SECOND
+        done = max(self.busy_until, self.now) + units / self.capacity(self.now) * TICKS_PER_SECOND
         if done > until:
             return None
         self.busy_until = done
@@ -161,7 +165,13 @@
             while self.arrivals[first][0] <= time - COLD_SPAN:
                 total -= self.arrivals[first][1]
                 first += 1
-            allowed = COLD_MULTIPLE * self.capacity(time - COLD_SPAN // 2) * COLD_SPAN / SECOND / MEAN_UNITS
+            allowed = (
+                COLD_MULTIPLE
+                * self.capacity(time - COLD_SPAN // 2)
+                * COLD_SPAN
+                / TICKS_PER_SECOND
+                / MEAN_UNITS
+            )
             worst = max(worst, total - allowed - 2 * allowed**0.5 - 2)
         return worst
 
--- a/tests/scheduling/test_limit_bucket.py
+++ b/tests/scheduling/test_limit_bucket.py
@@ -10,7 +10,7 @@
 
 from rushmux.scheduling.interface import QosPlan
 from rushmux.scheduling.limit_bucket import LimitBucket
-from rushmux.scheduling.records import NEVER, SECOND
+from rushmux.scheduling.records import NEVER, TICKS_PER_SECOND
 
 PLAN = QosPlan("base", 10.0, 0.0, limit=10.0, burst=48.0, slack=8.0, weight=1.0, price=1.0)
 STEP = 500  # ticks
@@ -24,7 +24,7 @@
         self.level, self.updated_at, self.lowest = PLAN.burst, 0, PLAN.burst
 
     def take(self, units, now):
-        elapsed = (now - self.updated_at) / SECOND
+        elapsed = (now - self.updated_at) / TICKS_PER_SECOND
         self.level = min(PLAN.burst, self.level + PLAN.limit * elapsed) - units
         self.updated_at, self.lowest = now, min(self.lowest, self.level)
 
@@ -74,25 +74,25 @@
 
 
 def test_a_smaller_share_cuts_the_level_and_counts_reserved_units():
-    bucket = LimitBucket(PLAN, 0.5, 0, 10 * SECOND)
+    bucket = LimitBucket(PLAN, 0.5, 0, 10 * TICKS_PER_SECOND)
     bucket.reserve(8)
     assert (bucket.level, bucket.reserved) == (16, 8)
-    bucket.set_share(0.25, 10 * SECOND)
+    bucket.set_share(0.25, 10 * TICKS_PER_SECOND)
     assert (bucket.level, bucket.capacity) == (4, 12)
-    bucket.set_share(0.125, 10 * SECOND)
+    bucket.set_share(0.125, 10 * TICKS_PER_SECOND)
     assert (bucket.level, bucket.capacity) == (-2, 6)
-    bucket.advance(20 * SECOND)
+    bucket.advance(20 * TICKS_PER_SECOND)
     assert bucket.level == -2
-    bucket.settle(8, 20 * SECOND)
-    bucket.advance(22 * SECOND)
+    bucket.settle(8, 20 * TICKS_PER_SECOND)
+    bucket.advance(22 * TICKS_PER_SECOND)
     assert bucket.level == pytest.approx(0.5)
 
 
 def test_a_larger_share_fills_from_the_change_on():
-    bucket = LimitBucket(PLAN, 0.25, 0, 10 * SECOND)
-    bucket.set_share(0.5, 10 * SECOND)
+    bucket = LimitBucket(PLAN, 0.25, 0, 10 * TICKS_PER_SECOND)
+    bucket.set_share(0.5, 10 * TICKS_PER_SECOND)
     assert bucket.level == 12
-    bucket.advance(11 * SECOND)
+    bucket.advance(11 * TICKS_PER_SECOND)
     assert bucket.level == pytest.approx(17)
 
 
@@ -103,7 +103,7 @@
     assert bucket.full_at() == 48_002 and bucket.release_time(24, 48_001) == 48_001
     bucket.reserve(1)
     assert bucket.full_at() == NEVER
-    assert LimitBucket(PLAN, 0.0, 0, SECOND).release_time(1, SECOND) == NEVER
+    assert LimitBucket(PLAN, 0.0, 0, TICKS_PER_SECOND).release_time(1, TICKS_PER_SECOND) == NEVER
 
 
 def test_a_plan_without_a_limit_admits_everything():
@@ -113,14 +113,14 @@
 
 
 def test_rounding_errors_do_not_keep_the_bucket_from_being_full():
-    bucket = LimitBucket(PLAN, 0.5, 0, 100 * SECOND)
+    bucket = LimitBucket(PLAN, 0.5, 0, 100 * TICKS_PER_SECOND)
     for units in (0.1, 0.2, 0.3):
         bucket.reserve(units)
     for units in (0.3, 0.1, 0.2):
-        bucket.settle(units, 100 * SECOND)
+        bucket.settle(units, 100 * TICKS_PER_SECOND)
     assert bucket.reserved == 0
-    assert bucket.full_at() < 101 * SECOND
+    assert bucket.full_at() < 101 * TICKS_PER_SECOND
 
 
 def test_an_empty_share_counts_as_full():
-    assert LimitBucket(PLAN, 0.0, 0, SECOND).full_at() == SECOND
+    assert LimitBucket(PLAN, 0.0, 0, TICKS_PER_SECOND).full_at() == TICKS_PER_SECOND
