--- a/rushmux/gateway/connection_pool.py
+++ b/rushmux/gateway/connection_pool.py
@@ -36,7 +36,7 @@
         connect_timeout: float,
         idle_timeout: float,
     ):
-        """Makes an empty pool.
+        """Creates an empty pool.
 
         Args:
             loop: The event loop.
--- a/rushmux/gateway/discovery.py
+++ b/rushmux/gateway/discovery.py
@@ -44,7 +44,7 @@
         on_update: Callable[[bool, list[DiscoveredEndpoint]], None],
         known_endpoints: Iterable[DiscoveredEndpoint] = (),
     ):
-        """Makes a watch that is not started.
+        """Creates a watch that is not started.
 
         Args:
             loop: The event loop.
--- a/rushmux/gateway/discovery_connection.py
+++ b/rushmux/gateway/discovery_connection.py
@@ -24,7 +24,7 @@
 MS_PER_SECOND = 1000
 STATUS_OK = 200
 REJECTED_STATUSES = range(400, 500)
-"""They reject the request: discovery does not know the version."""
+"""Discovery rejects the request, as it does not know the version."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
@@ -63,7 +63,7 @@
         self.transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
         self.requested_at = loop.time()
         self.has_response_begun = False
-        self.timer = loop.call_later(WATCH_TIMEOUT + FIRST_BYTE_SLACK, self.close, "silent")
+        self.timer = loop.call_later(WATCH_TIMEOUT + FIRST_BYTE_SLACK, self.close, "no response in time")
 
     def data_received(self, data: bytes) -> None:
         """Reads a part of a response (`asyncio.Protocol`)."""
@@ -71,7 +71,7 @@
             self.has_response_begun = True
             self.timer.cancel()
             due = self.requested_at + RESPONSE_TIMEOUT
-            self.timer = self.watch.loop.call_at(due, self.close, "response not complete in time")
+            self.timer = self.watch.loop.call_at(due, self.close, "response incomplete in time")
         self._receive(data)
 
     def eof_received(self) -> None:
--- a/rushmux/gateway/endpoint_pool.py
+++ b/rushmux/gateway/endpoint_pool.py
@@ -15,7 +15,7 @@
     from rushmux.gateway.connection_pool import ConnectionPool
 
 MAX_WAITING = 64
-"""Limit of attempts that wait for one node's connections: six times the design's bound."""
+"""Limit of attempts that wait for one node's connections: six times the scheduler's MAX_IN_FLIGHT."""
 
 
 class EndpointPool:
--- a/rushmux/gateway/keep_alive.py
+++ b/rushmux/gateway/keep_alive.py
@@ -1,7 +1,7 @@
 """Estimates how long a connection to a node may be idle and still be reused."""
 
 REUSE_COOLDOWN = 0.02
-"""Seconds from a reply until its connection is reused, so that unsolicited replies show first."""
+"""Seconds from a reply until its connection is reused, so that unsolicited replies are detected first."""
 BIN_COUNT = 12
 """Histogram bins: the first ends at `REUSE_COOLDOWN`, each next one is twice as long."""
 MIN_RESETS = 3
--- a/rushmux/gateway/process.py
+++ b/rushmux/gateway/process.py
@@ -19,7 +19,7 @@
 MAX_DRAIN_TIME = 3.0
 """Seconds that the platform waits at most for the longest deadline of a request class."""
 KILL_MARGIN = 0.7
-"""Seconds from then until SIGKILL may come."""
+"""Seconds from the end of that wait until SIGKILL may come."""
 BEGIN_SHUTDOWN_BEFORE_KILL = 0.8
 """Seconds before SIGKILL from which connections are closed once they are quiet.
 
--- a/rushmux/routes/bounds.py
+++ b/rushmux/routes/bounds.py
@@ -9,7 +9,7 @@
 from rushmux.scheduling.interface import RequestClass, SchedulerSettings, Ticks
 from rushmux.scheduling.node import ANSWER_CREDIT
 
-ANSWER_MARGIN = 2  # rounds before its deadline at which the scheduler ends an operation
+ANSWER_MARGIN = 2  # rounds before a deadline at which the scheduler ends the operation
 
 
 class Bounds(NamedTuple):
@@ -77,8 +77,8 @@
 def _units_beyond_shares(bounds: Bounds) -> float:
     """Returns the units beyond the gateways' shares that a node in slow start may receive in a window.
 
-    The largest dithers, and the credit for answers: those of a window and of the delays by which sends and
-    answers can bunch up, and one that was nearly complete.
+    The largest dithers, and the credit for answers within a window, for those that delays bunch up with them,
+    and for one largest operation that was nearly complete.
     """
     settings, window = bounds.settings, bounds.overload_window
     bunching = 1 + (settings.slow_start_window - window + bounds.network_delay) / window
--- a/rushmux/routes/verifier.py
+++ b/rushmux/routes/verifier.py
@@ -1,9 +1,9 @@
 """Computes the worst cases that a file's routes allow and reports those that could break a rule.
 
-Each check is a closed form over the stated bounds: the longest chain of delays that they allow, in whole
-ticks, against what the rule allows (docs/routes.md derives each).  A `guarded` finding is of a rule that the
-scheduler would keep by itself, so that the route could not do all that it states.  A simulated schedule can
-reproduce the others (`lab/model_check`).
+Each check compares a closed form, the longest chain of delays within the stated bounds in whole ticks, with
+what the rule allows (docs/routes.md derives each).  The rule of a `guarded` finding is kept by the scheduler,
+which does not do all that the route states.  A simulated schedule can reproduce the others
+(`lab/model_check`).
 """
 
 from rushmux.routes import fleet_checks, route_checks
@@ -64,7 +64,13 @@
             True,
         ),
         WorstCase("executions in flight at a node", in_flight, None, "", True),
-        WorstCase("bytes of them", in_flight * settings.max_units * bounds.unit_bytes, None, "bytes", False),
+        WorstCase(
+            "bytes of these executions",
+            in_flight * settings.max_units * bounds.unit_bytes,
+            None,
+            "bytes",
+            False,
+        ),
         WorstCase(
             "arrival at a draining node after notice", draining / 10, bounds.drain_grace / 10, "ms", True
         ),
--- a/rushmux/scheduling/concurrency_limit.py
+++ b/rushmux/scheduling/concurrency_limit.py
@@ -3,18 +3,19 @@
 from rushmux.scheduling.interface import LOST_CONNECTIONS, NODE_FAULTS, AttemptResult
 from rushmux.scheduling.structures import DoublingHistogram
 
-MIN_LIMIT = 0.15  # attempts; a limit below one is kept by pauses after answers
+MIN_LIMIT = 0.15  # attempts; a limit below one is enforced by pauses after answers
 INCREASE = 1  # attempts per early answer at a full limit, over all gateways of the volume
 DECREASE = 0.3  # fraction removed by a late answer: two of them halve the limit
 DECREASE_FAILED = 0.7  # fraction removed by a failure: the third in a row suspends the node
 LATE_BASE = 0.1  # of the latency objective: an answer within it is never late
-LATE_BY_SIZE = 0.1  # of the latency objective, per mean operation: large operations take longer
+LATE_BY_SIZE = 0.1  # of the latency objective, per mean operation's units: large ones take longer
 LATE_GLOBAL = 1.5  # lateness factor of the global limit, where only an overload should count
 NODE_PAUSE_DIVISOR = 4  # a node's pause is at most the latency objective divided by this
 FIRST_BIN, BIN_COUNT = 250, 8  # ticks, bins of latencies; the last starts at 1.6 s, where detail is useless
 HALVE_AT = 32  # latencies until the counts are halved: a memory of some seconds
 
 LOAD_SIGNALS = (AttemptResult.SUCCEEDED, AttemptResult.TIMED_OUT, AttemptResult.CANCELLED)
+# Results that remove only `DECREASE`; a success that does is a late one.
 SOFT_FAILURES = (AttemptResult.SUCCEEDED, AttemptResult.FAILED, AttemptResult.CANCELLED)
 
 
--- a/rushmux/scheduling/driver.py
+++ b/rushmux/scheduling/driver.py
@@ -50,7 +50,7 @@
     """Whether all its bytes have left this process."""
 
     def drop(self) -> None:
-        """Ignores the attempt from now on."""
+        """Abandons the attempt; no reply follows."""
 
     def cancel(self) -> None:
         """Cancels the attempt, at its node too if the protocol can."""
--- a/rushmux/scheduling/endpoint_picker.py
+++ b/rushmux/scheduling/endpoint_picker.py
@@ -31,7 +31,8 @@
     def pick(self, units, now):
         """Returns the less loaded of two random usable cells, else the first one drawn, or None.
 
-        Cells with a full or cold node are skipped, so that unresponsive nodes receive no new objects.
+        Cells whose node is full or lacks slow start allowance are skipped, so that unresponsive nodes receive
+        no new objects.
         """
         cells, usable, first_drawn = self.scheduler.endpoints.listed_cells, [], None
         for _ in range(MAX_DRAWS if cells else 0):
--- a/rushmux/scheduling/interface.py
+++ b/rushmux/scheduling/interface.py
@@ -87,7 +87,7 @@
     """A change in a gateway's state of a volume."""
 
     STARTED = "started"
-    """It was not known, or forgotten."""
+    """The first request for it, or the first since it was forgotten."""
     USAGE_REPORTED = "usage_reported"
     """Answers began to contain the fleet's usage."""
     USAGE_MISSING = "usage_missing"
--- a/rushmux/scheduling/node.py
+++ b/rushmux/scheduling/node.py
@@ -37,7 +37,7 @@
         self.report_requested_at = -NEVER
 
     def update(self, endpoint):
-        """Sets the list entry; a node that restarted gets the minimum limit."""
+        """Sets the list entry; the limit of a node that restarted falls to `MIN_LIMIT`."""
         if self.endpoint.online_since != endpoint.online_since:
             self.limit.size, self.expected_service = min(MIN_LIMIT, self.limit.size), 0
         self.endpoint = endpoint
@@ -72,9 +72,9 @@
         """Returns the units that may still be sent in this slow start window; `NEVER` once the node is warm.
 
         Gateways do not know of each other and must not overload the node together: each uses its share of the
-        growing capacity, and credit for answered units.  It assumes to share the node with a part of all
-        gateways, equal to the part of all cells that it uses, or with the gateways of its most shared volume.
-        Shares below one operation are used at random.
+        growing capacity, and credit for answered units.  It is assumed to share the node with the fraction of
+        all gateways that equals the fraction of cells that it uses, and at least with the gateways of the
+        cell's most shared volume.  Shares below one operation are used at random.
         """
         settings, age = self.settings, now - self.endpoint.online_since
         window, cells = settings.slow_start_window, scheduler.endpoints.listed_cells
--- a/rushmux/scheduling/records.py
+++ b/rushmux/scheduling/records.py
@@ -115,7 +115,7 @@
 
 
 class Stage:
-    """A step of the scheduler; results pass the steps in reverse order."""
+    """A stage of the scheduler; results pass the stages in reverse order."""
 
     def __init__(self, scheduler: Scheduler):
         self.scheduler = scheduler
@@ -123,7 +123,7 @@
         self.actions = scheduler.actions
 
     def accept(self, operation: Operation, now: Ticks) -> bool:
-        """Returns whether the operation may pass to the next stage."""
+        """Returns whether the operation passes to the next stage at once."""
         raise NotImplementedError
 
     def on_result(self, operation: Operation, attempt, node, result, now: Ticks) -> None:
--- a/rushmux/scheduling/scheduler.py
+++ b/rushmux/scheduling/scheduler.py
@@ -20,14 +20,14 @@
 
 RETRY_JITTER = 50  # ticks by which deadlines of a retry and its first try may differ
 POLL_RETRY_FRACTION = 0.1  # of the poll interval: minimum pause after a failed poll
-VOLUME_IDLE_TIME = 600_000  # ticks: a volume idle for so long is forgotten, as volumes come and go for hours
+VOLUME_IDLE_TIME = 600_000  # ticks until an idle volume is forgotten, since over hours many come and go
 USAGE_EVENT_INTERVAL = 100_000  # ticks between usage events of one volume, so that they do not flood the log
 REPORT_INTERVAL = 20_000  # ticks between load requests to a node: tens of gateways ask, and it rejects excess
 ANSWER_MARGIN = 2  # rounds between an operation's deadline and the client's
 
 
 def with_default_reserves(settings):
-    """Returns the settings, with reserves by weight if no plan has any: otherwise surges starve others."""
+    """Adds reserves by weight if nodes report load and no plan has any, or a surge would starve others."""
     if not settings.reports_load or any(plan.reserve for plan in settings.plans.values()):
         return settings
     rate = max(plan.nominal / plan.weight for plan in settings.plans.values())
@@ -60,7 +60,7 @@
         self.limit.size = self.limit.size or self.even_limit()
 
     def even_limit(self):
-        """Returns this gateway's even share of the attempts at all nodes."""
+        """Returns an even share of the attempts in flight in all cells; all of them if nodes report load."""
         sharing_gateways = 1 if self.settings.reports_load else self.settings.gateway_count
         return MAX_IN_FLIGHT * len(self.endpoints.cells) / sharing_gateways
 
--- a/rushmux/settings/deployment.py
+++ b/rushmux/settings/deployment.py
@@ -253,5 +253,5 @@
     except UnicodeDecodeError as error:
         raise DeploymentError(path, [("/", f"is not UTF-8: {error.reason} at byte {error.start}")]) from error
     if not isinstance(raw, dict):
-        raise DeploymentError(path, [("/", "the file must hold one object")])
+        raise DeploymentError(path, [("/", "the file must be a JSON object")])
     return build(raw, str(path))
--- a/rushmux/settings/migration.py
+++ b/rushmux/settings/migration.py
@@ -1,6 +1,6 @@
-"""Converts a deployment file of the old kind to the new kind.
+"""Converts a deployment file to the new kind of deployment.
 
-In new deployments nodes report their load on request, the fleet has a usage meter, operations may be ordered
+There nodes report their load on request, the fleet has a usage meter, operations may be ordered
 by key, and there may be no reserves and no hedged requests.  No I/O.
 """
 
--- a/rushmux/wirehost/host.py
+++ b/rushmux/wirehost/host.py
@@ -118,7 +118,7 @@
         }
 
     def serve(self, source: Iterable[bytes], sink: BinaryIO) -> None:
-        """Responds line by line; MalformedInputError has the number of a line that cannot be read."""
+        """Responds line by line; raises MalformedInputError with the number of an invalid line."""
         for number, line in enumerate(source, 1):
             try:
                 batch = orjson.loads(line)
--- a/tests/routes/test_broken.py
+++ b/tests/routes/test_broken.py
@@ -77,7 +77,11 @@
     ):
         assert text in result.output
     result = CliRunner().invoke(main, ["check", str(FILES[0].with_name("no-such-lane.json"))])
-    for text in ("no lane 'escritura'", "no plan 'oro'", "/routes/3: routes the same as /routes/2"):
+    for text in (
+        "no lane 'escritura'",
+        "no plan 'oro'",
+        "/routes/3: has the same lane and plan as /routes/2",
+    ):
         assert text in result.output
 
 
--- a/tests/settings/test_deployment.py
+++ b/tests/settings/test_deployment.py
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize(
     "text, message",
-    [("{", "line 1, column 2"), ("[]", "one object"), (b"\xff", "UTF-8"), (None, "cannot be read")],
+    [("{", "line 1, column 2"), ("[]", "a JSON object"), (b"\xff", "UTF-8"), (None, "cannot be read")],
 )
 def test_an_unreadable_or_malformed_file_is_rejected(tmp_path, text, message):
     path = tmp_path / "d.json"
--- a/tests/settings/test_migration.py
+++ b/tests/settings/test_migration.py
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize(
     "text, message",
-    [(None, "cannot be read"), ("{", "line 1"), ('{"version": 9}', "version"), ("[]", "one object")],
+    [(None, "cannot be read"), ("{", "line 1"), ('{"version": 9}', "version"), ("[]", "a JSON object")],
 )
 def test_an_unreadable_or_malformed_old_file_is_rejected(tmp_path, text, message):
     old, to = tmp_path / "old.json", tmp_path / "new.json"
