--- a/rushmux/gateway/node_connection.py
+++ b/rushmux/gateway/node_connection.py
@@ -64,7 +64,7 @@
 
     @property
     def sent(self) -> bool:
-        """Whether its last byte has left this process; dropped before, an attempt never runs."""
+        """Whether its last byte has left this process; an attempt dropped before that never runs."""
         return self.written and not (self.connection is not None and self.connection.has_unsent_bytes)
 
     def drop(self) -> None:
--- a/rushmux/lab/model_check/deployments.py
+++ b/rushmux/lab/model_check/deployments.py
@@ -58,7 +58,7 @@
     """Ticks or units by which the drawn bound is exceeded; negative: by which it is kept."""
     round_interval: Ticks
     network_delay: Ticks
-    dial_timeout: Ticks
+    connect_timeout: Ticks
     latency_objective: Ticks
     deadline: Ticks
     idempotency: Idempotency = Idempotency.IDEMPOTENT
@@ -101,10 +101,10 @@
     excess = generator.randrange(-3, 4)
     round_interval = generator.randrange(4, 60) * 2
     network_delay = round_interval // 2 - generator.randrange(1, 3)
-    dial_timeout = generator.choice((0, 300, 2_000))
+    connect_timeout = generator.choice((0, 300, 2_000))
     latency_objective = generator.randrange(20, 60) * 100
     deadline = latency_objective * 3 + 4 * round_interval
-    return _Parameters(excess, round_interval, network_delay, dial_timeout, latency_objective, deadline)
+    return _Parameters(excess, round_interval, network_delay, connect_timeout, latency_objective, deadline)
 
 
 def _draw_network_delay(parameters: _Parameters, _generator: random.Random) -> None:
@@ -123,7 +123,7 @@
     timeout_ms = generator.randrange(2, 12) * 10.0
     parameters.route = {"executions": 2, "time_out_ms": timeout_ms}
     interval, excess, objective = parameters.round_interval, parameters.excess, parameters.latency_objective
-    wait = min(parameters.dial_timeout, int(timeout_ms * TICKS_PER_MS) + interval)
+    wait = min(parameters.connect_timeout, int(timeout_ms * TICKS_PER_MS) + interval)
     longest = objective + interval + wait + parameters.network_delay
     offset = generator.choice((excess, excess - objective // 2, excess - interval))
     parameters.dedup_window = max(2 * interval, longest + offset)
@@ -234,7 +234,7 @@
         max_units=MAX_UNITS,
         slow_start_units=parameters.slow_start_units,
         slow_start_window=scheduler_window(
-            OVERLOAD_WINDOW, parameters.network_delay, parameters.dial_timeout, interval
+            OVERLOAD_WINDOW, parameters.network_delay, parameters.connect_timeout, interval
         ),
         overload_multiple=OVERLOAD_MULTIPLE,
         initial_capacity=0.2,
@@ -254,14 +254,14 @@
     """Returns the shortest grace in which all attempts arrive that were sent before the drain was known."""
     interval = parameters.round_interval
     longest = max(longest_attempt(interval, route) for route in routes) + interval
-    return interval + min(parameters.dial_timeout, longest) + parameters.network_delay
+    return interval + min(parameters.connect_timeout, longest) + parameters.network_delay
 
 
 def _bounds(parameters: _Parameters, settings: SchedulerSettings, drain_grace: Ticks) -> Bounds:
     return Bounds(
         settings=settings,
         network_delay=parameters.network_delay,
-        dial_timeout=parameters.dial_timeout,
+        connect_timeout=parameters.connect_timeout,
         drain_grace=drain_grace,
         restarts=parameters.restarts,
         overload_window=OVERLOAD_WINDOW,
--- a/rushmux/lab/model_check/schedule.py
+++ b/rushmux/lab/model_check/schedule.py
@@ -86,7 +86,7 @@
         self.network_delays = self.dial_times = self.round_delays = (0,)
         if has_delays:
             self.network_delays = _worst_and_none(bounds.network_delay)
-            self.dial_times = _worst_and_none(bounds.dial_timeout)
+            self.dial_times = _worst_and_none(bounds.connect_timeout)
             self.round_delays = _worst_and_none(bounds.settings.round_interval)
         self.usage_values = USAGE_VALUES if bounds.settings.usage_period else (TYPICAL_USAGE,)
         self._busy_until = 0  # end of the work at nodes in slow start, which is done one by one
--- a/rushmux/routes/bounds.py
+++ b/rushmux/routes/bounds.py
@@ -18,7 +18,7 @@
     settings: SchedulerSettings
     network_delay: Ticks
     """The longest delay of a message in one direction."""
-    dial_timeout: Ticks
+    connect_timeout: Ticks
     """The longest that an attempt waits for a connection."""
     drain_grace: Ticks
     """How long after a drain's notice attempts may reach the node."""
@@ -37,12 +37,12 @@
     """The least fraction of all cells that gateways with work for a node in slow start serve."""
 
 
-def scheduler_window(window: Ticks, delay: Ticks, dial_timeout: Ticks, interval: Ticks) -> Ticks:
+def scheduler_window(window: Ticks, delay: Ticks, connect_timeout: Ticks, interval: Ticks) -> Ticks:
     """Returns the window over which sends must be limited to limit the arrivals in `window`.
 
     Attempts sent at different times may arrive together, because their delays differ.
     """
-    return window + delay + dial_timeout + interval
+    return window + delay + connect_timeout + interval
 
 
 def time_in_scheduler(bounds: Bounds, request_class: RequestClass) -> Ticks:
@@ -71,7 +71,7 @@
     A round notices its timeout up to one interval late.
     """
     interval = bounds.settings.round_interval
-    return min(bounds.dial_timeout, longest_attempt(interval, route) + interval)
+    return min(bounds.connect_timeout, longest_attempt(interval, route) + interval)
 
 
 def _units_beyond_shares(bounds: Bounds) -> float:
--- a/rushmux/routes/fleet_checks.py
+++ b/rushmux/routes/fleet_checks.py
@@ -17,7 +17,7 @@
 def check_answers_in_time(bounds: Bounds) -> list[Finding]:
     """Checks that final answers arrive before the deadline.
 
-    Those with deadlines above the end margin are late by the network delay alone and share a finding.
+    Classes with deadlines above the answer margin are late by the network delay alone and share a finding.
     """
     interval, classes = bounds.settings.round_interval, bounds.settings.request_classes.values()
     late = [each for each in classes if latest_answer_time(bounds, each) > each.deadline]
@@ -70,9 +70,9 @@
     if worst <= bounds.drain_grace:
         return None
     suggestion = f"/fleet/drain_grace_ms {worst / 10:g}"
-    dial_timeout = bounds.drain_grace - interval - bounds.network_delay
-    if dial_timeout > 0:
-        suggestion += f", or /fleet/dial_ms {dial_timeout / 10:g}"
+    connect_timeout = bounds.drain_grace - interval - bounds.network_delay
+    if connect_timeout > 0:
+        suggestion += f", or /fleet/dial_ms {connect_timeout / 10:g}"
     text = (
         f"an execution of {route.name} reaches a draining node {format_ms(worst)} after this gateway was "
         f"notified, {format_ms(bounds.drain_grace)} are allowed"
--- a/rushmux/scheduling/limit_bucket.py
+++ b/rushmux/scheduling/limit_bucket.py
@@ -55,7 +55,7 @@
         self.reserved += units
 
     def settle(self, units, now):
-        """Counts reserved units as used: they reached a node or never will."""
+        """Ends the reservation of units that reached a node or never will; they count as used."""
         self.advance(now)
         self.reserved -= units
         if self.reserved < ROUNDING:  # or it would never be full again
--- a/rushmux/settings/deployment.py
+++ b/rushmux/settings/deployment.py
@@ -159,7 +159,7 @@
 
 def _scheduler_settings(raw: dict) -> SchedulerSettings:
     fleet, budget = raw["fleet"], raw["fleet"].get("budget")
-    interval, dial_timeout = resolve.ticks(fleet["tick_ms"]), resolve.ticks(fleet["dial_ms"])
+    interval, connect_timeout = resolve.ticks(fleet["tick_ms"]), resolve.ticks(fleet["dial_ms"])
     window, delay = resolve.ticks(fleet["cold_span_ms"]), resolve.ticks(raw["bounds"]["way_ms"])
     return SchedulerSettings(
         request_classes={name: _request_class(name, row) for name, row in raw["lanes"].items()},
@@ -173,7 +173,7 @@
         mean_units=fleet["mean_units"],
         max_units=fleet["most_units"],
         slow_start_units=fleet["cold_units"],
-        slow_start_window=route_bounds.scheduler_window(window, delay, dial_timeout, interval),
+        slow_start_window=route_bounds.scheduler_window(window, delay, connect_timeout, interval),
         overload_multiple=fleet["fall_multiple"],
         initial_capacity=fleet["cold_start"],
         warm_up_time=resolve.ticks(fleet["warm_within_ms"]),
@@ -193,7 +193,7 @@
     return route_bounds.Bounds(
         settings,
         network_delay=resolve.ticks(bounds["way_ms"]),
-        dial_timeout=resolve.ticks(fleet["dial_ms"]),
+        connect_timeout=resolve.ticks(fleet["dial_ms"]),
         drain_grace=resolve.ticks(fleet["drain_grace_ms"]),
         restarts=bounds["restarts"],
         overload_window=resolve.ticks(fleet["cold_span_ms"]),
--- a/rushmux/settings/migration.py
+++ b/rushmux/settings/migration.py
@@ -12,7 +12,7 @@
 
 
 class TargetShape(NamedTuple):
-    """The properties of the new deployment; None or empty: unchanged."""
+    """The properties of the new deployment; None or empty: unchanged.  False drops reserves or hedging."""
 
     load: str = "probe"
     meter_ms: float | None = None
@@ -20,7 +20,7 @@
     order_rest_ms: float | None = None
     gateways: int | None = None
     reserves: bool = True
-    copies: bool = True
+    hedging: bool = True
 
 
 def migrate(raw: dict, shape: TargetShape) -> tuple[dict, list[Leftover]]:
@@ -42,7 +42,7 @@
             leftovers.append((f"/lanes/{name}", "there is no such lane to order by key"))
     if not shape.reserves:
         _drop_reserves(new, leftovers)
-    if not shape.copies:
+    if not shape.hedging:
         _drop_hedging(new, leftovers)
     if shape.gateways is not None:
         _drop_edges(new, shape.gateways, leftovers)
--- a/tests/settings/test_migration.py
+++ b/tests/settings/test_migration.py
@@ -48,7 +48,7 @@
     raw = copy.deepcopy(EXAMPLE)
     raw["folders"]["caribe"]["edges"] = [2]
     raw["folders"]["delta"]["edges"] = [1, 2]
-    new, left = migrate(raw, TargetShape(reserves=False, copies=False, gateways=2, in_order=("volcados",)))
+    new, left = migrate(raw, TargetShape(reserves=False, hedging=False, gateways=2, in_order=("volcados",)))
     assert [place for place, _ in left] == [
         "/lanes/volcados",
         "/plans/basico/reserve",
