--- a/rushmux/gateway/discovery_connection.py
+++ b/rushmux/gateway/discovery_connection.py
@@ -21,11 +21,10 @@
 RESPONSE_TIMEOUT = 2.5
 """Seconds from the request until its response must be complete."""
 MAX_RESPONSE_BYTES = 8 << 20
-MILLISECONDS = 1000
-"""In a second."""
+MS_PER_SECOND = 1000
 STATUS_OK = 200
 REJECTED_STATUSES = range(400, 500)
-"""They reject the request: discovery does not know the version."""
+"""Discovery rejects the request, as it does not know the version."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
@@ -59,12 +58,12 @@
         host, port = self.address
         target = PATH
         if version is not None:
-            target = f"{PATH}?after={version}&wait_ms={int(WATCH_TIMEOUT * MILLISECONDS)}"
+            target = f"{PATH}?after={version}&wait_ms={int(WATCH_TIMEOUT * MS_PER_SECOND)}"
         request = h11.Request(method="GET", target=target, headers=[("Host", f"{host}:{port}")])
         self.transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
         self.requested_at = loop.time()
         self.has_response_begun = False
-        self.timer = loop.call_later(WATCH_TIMEOUT + FIRST_BYTE_SLACK, self.close, "silent")
+        self.timer = loop.call_later(WATCH_TIMEOUT + FIRST_BYTE_SLACK, self.close, "no response in time")
 
     def data_received(self, data: bytes) -> None:
         """Reads a part of a response (`asyncio.Protocol`)."""
@@ -72,7 +71,7 @@
             self.has_response_begun = True
             self.timer.cancel()
             due = self.requested_at + RESPONSE_TIMEOUT
-            self.timer = self.watch.loop.call_at(due, self.close, "response not complete in time")
+            self.timer = self.watch.loop.call_at(due, self.close, "response incomplete in time")
         self._receive(data)
 
     def eof_received(self) -> None:
--- a/rushmux/routes/bounds.py
+++ b/rushmux/routes/bounds.py
@@ -9,7 +9,7 @@
 from rushmux.scheduling.interface import RequestClass, SchedulerSettings, Ticks
 from rushmux.scheduling.node import ANSWER_CREDIT
 
-END_MARGIN = 2  # rounds before its deadline at which the scheduler ends an operation
+ANSWER_MARGIN = 2  # rounds before a deadline at which the scheduler ends the operation
 
 
 class Bounds(NamedTuple):
@@ -18,7 +18,7 @@
     settings: SchedulerSettings
     network_delay: Ticks
     """The longest delay of a message in one direction."""
-    dial_timeout: Ticks
+    connect_timeout: Ticks
     """The longest that an attempt waits for a connection."""
     drain_grace: Ticks
     """How long after a drain's notice attempts may reach the node."""
@@ -37,17 +37,17 @@
     """The least fraction of all cells that gateways with work for a node in slow start serve."""
 
 
-def scheduler_window(window: Ticks, delay: Ticks, dial_timeout: Ticks, interval: Ticks) -> Ticks:
+def scheduler_window(window: Ticks, delay: Ticks, connect_timeout: Ticks, interval: Ticks) -> Ticks:
     """Returns the window over which sends must be limited to limit the arrivals in `window`.
 
     Attempts sent at different times may arrive together, because their delays differ.
     """
-    return window + delay + dial_timeout + interval
+    return window + delay + connect_timeout + interval
 
 
 def time_in_scheduler(bounds: Bounds, request_class: RequestClass) -> Ticks:
     """Returns how long an operation may be queued or in flight."""
-    return max(0, request_class.deadline - END_MARGIN * bounds.settings.round_interval)
+    return max(0, request_class.deadline - ANSWER_MARGIN * bounds.settings.round_interval)
 
 
 def latest_answer_time(bounds: Bounds, request_class: RequestClass) -> Ticks:
@@ -61,7 +61,7 @@
 
 def longest_attempt(interval: Ticks, route: ResolvedRoute) -> Ticks:
     """Returns how long one attempt may take."""
-    remaining = route.request_class.deadline - END_MARGIN * interval
+    remaining = route.request_class.deadline - ANSWER_MARGIN * interval
     return max(0, min(route.policy.attempt_timeout, remaining))
 
 
@@ -71,14 +71,14 @@
     A round notices its timeout up to one interval late.
     """
     interval = bounds.settings.round_interval
-    return min(bounds.dial_timeout, longest_attempt(interval, route) + interval)
+    return min(bounds.connect_timeout, longest_attempt(interval, route) + interval)
 
 
 def _units_beyond_shares(bounds: Bounds) -> float:
     """Returns the units beyond the gateways' shares that a node in slow start may receive in a window.
 
-    The largest dithers, and the credit for answers: those of a window and of the delays by which sends and
-    answers can bunch up, and one that was nearly complete.
+    The largest dithers, and the credit for answers within a window, for those that delays bunch up with them,
+    and for one largest operation that was nearly complete.
     """
     settings, window = bounds.settings, bounds.overload_window
     bunching = 1 + (settings.slow_start_window - window + bounds.network_delay) / window
