--- a/rushmux/fleet/membership.py
+++ b/rushmux/fleet/membership.py
@@ -18,7 +18,7 @@
 LEASE_DURATION = 6.0  # seconds without a report until removal; covers three lost reports and a long pause
 REPORT_INTERVAL = 1.0  # seconds
 DISCONNECT_GRACE = 1.0  # seconds from a lost connection until removal; allows for a few reconnect attempts
-MAX_TICK_GAP = 2.0  # seconds between two ticks; a longer gap means a paused planner or a clock jump
+MAX_TICK_GAP = 2.0  # seconds between two calls; a longer gap means a paused planner or a clock jump
 SUSPICION_FACTOR = 4.0  # a member is suspected after this many times its usual gap between reports
 REPORT_GAPS_KEPT = 16
 INCARNATIONS_KEPT = 16
@@ -61,7 +61,7 @@
     MemberState.DRAINED: MemberState.DRAINING,
     MemberState.SUPPRESSED: MemberState.DRAINING,
 }
-"""States published to edges as another one; suspicion has no effect on edges."""
+"""The published state for each state that edges do not know."""
 
 
 class StoredMember(NamedTuple):
@@ -165,7 +165,7 @@
 
 
 class Membership:
-    """All members.  Methods return the state changes they make, in order of the members' first reports."""
+    """All members in order of their first reports; methods return the state changes they make."""
 
     def __init__(self, now: float):
         self.members: dict[str, Member] = {}
@@ -208,14 +208,14 @@
         return self._evaluate(now, member)
 
     def on_disconnect(self, now: float, name: str) -> None:
-        """Shortens the lease of a disconnected member: most have died, but some reconnect soon."""
+        """Shortens the lease of a disconnected member; not to zero, as it may reconnect soon."""
         member = self.members.get(name)
         if member is not None and member.state != MemberState.REMOVED:
             member.lease_expiry = min(member.lease_expiry, now + DISCONNECT_GRACE)
         self._compensate_pause(now)
 
     def tick(self, now: float) -> list[StateChange]:
-        """Expires leases and updates all states; to be called about once a second."""
+        """Expires leases and updates all states; to be called more often than every `MAX_TICK_GAP`."""
         self._compensate_pause(now)
         self.last_tick_at = now
         expiring = [
@@ -232,7 +232,7 @@
         return changes
 
     def drain(self, now: float, name: str) -> list[StateChange]:
-        """Drains a member: it gets nothing new.
+        """Drains a member: it gets no new operations.
 
         Raises:
             KeyError: No member of that name is known.
@@ -273,7 +273,10 @@
                 member.last_report_at += excess + MAX_TICK_GAP
 
     def _is_own_failure(self, now: float, expiring: list[Member]) -> bool:
-        """Whether so many leases expire together that this planner is likely partitioned; limited in time."""
+        """Whether so many leases expire together that this planner is likely partitioned.
+
+        False again once that has lasted for `MASS_FAILURE_GRACE`.
+        """
         living = sum(member.is_living for member in self.members.values())
         window = MASS_FAILURE_WINDOW + MASS_FAILURE_GRACE
         together = sum(now - member.lease_expiry < window for member in expiring)
--- a/rushmux/fleet/policy/codec.py
+++ b/rushmux/fleet/policy/codec.py
@@ -154,4 +154,4 @@
                 "joint": list(command.joint),
                 "why": command.reason,
             }
-    raise TypeError(f"{type(command).__name__} is only proposed by operators")
+    raise TypeError(f"the coordinator does not propose {type(command).__name__}")
--- a/rushmux/fleet/policy/commands.py
+++ b/rushmux/fleet/policy/commands.py
@@ -78,7 +78,7 @@
 
 
 class ForgetMember(NamedTuple):
-    """Stops waiting for a member that an operator declared permanently stopped."""
+    """Lets changes proceed without a member that an operator declared permanently stopped."""
 
     member: str
 
@@ -90,7 +90,7 @@
 
 
 class DrainNode(NamedTuple):
-    """Drains a node: it gets nothing new."""
+    """Drains a node: it gets no new operations."""
 
     node: str
 
--- a/rushmux/fleet/policy/coordinator.py
+++ b/rushmux/fleet/policy/coordinator.py
@@ -14,7 +14,7 @@
 from rushmux.fleet.policy.records import LEASE_DURATION, MAX_CLOCK_DRIFT, LeaseGrant, LeaseRequest, Policy
 from rushmux.fleet.policy.state_machine import PolicyStateMachine
 
-STAGE_TIMEOUT = 35.0  # seconds until a change that members have not answered is aborted; three leases
+STAGE_TIMEOUT = 35.0  # seconds until a change that members have not answered is aborted; over three leases
 MAX_PENDING_REQUESTS = 2_000  # lease requests waiting for a heartbeat round
 MAX_NAMED_MEMBERS = 5  # members listed in the reason of an aborted change
 
@@ -61,8 +61,8 @@
     def grant_leases(self, now: float, confirmed_round: int, term: int, index: int) -> list[LeaseGrant]:
         """Answers the requests that arrived before the round that a majority echoed.
 
-        A replaced leader may not know that it was replaced.  An earlier round would not prove that it still
-        led when the request arrived, so its grants could be older than the latest decision.
+        A round that began before a request does not prove that this planner still led when the request
+        arrived: it could have been replaced, and grant a lease on an outdated policy.
         """
         ready = [request for round_, request in self.pending_requests if round_ < confirmed_round]
         self.pending_requests = [
--- a/rushmux/fleet/policy/state_machine.py
+++ b/rushmux/fleet/policy/state_machine.py
@@ -44,7 +44,7 @@
 )
 
 MAX_POLICY_BYTES = 64 << 10
-MAX_VERSIONS_IN_USE = 32  # versions from the oldest one that a member may apply; all their limits are kept
+MAX_VERSIONS_IN_USE = 32  # decided versions from the fencing floor on; all their limits are kept
 PAST_POLICIES_KEPT = 4  # policies available to a revert
 MAX_CHANGE_RECORDS = 200
 MAX_DRAINED_NODES = 10_000
@@ -74,7 +74,10 @@
 
     @property
     def fencing_floor(self) -> int:
-        """The oldest version still in use, except by a member whose disk is older than what it reported."""
+        """The oldest version that a member may still apply, forgotten members aside.
+
+        Nodes reject older ones, which a member with an outdated disk could apply.
+        """
         return min(
             (version for member, version in self.member_versions.items() if member not in self.forgotten),
             default=self.active.version if self.active is not None else 0,
@@ -225,7 +228,7 @@
         }
 
     def forget(self, command: ForgetMember) -> str:
-        """Stops waiting for a member."""
+        """Lets changes proceed without a member."""
         if command.member not in self.member_versions:
             raise UnknownMemberError(command.member)
         self.forgotten[command.member] = True
@@ -239,7 +242,7 @@
         return f"{len(command.members)} are back"
 
     def drain(self, command: DrainNode) -> str:
-        """Drains a node: it gets nothing new."""
+        """Drains a node: it gets no new operations."""
         if len(self.drained_nodes) >= MAX_DRAINED_NODES:
             raise TooManyDrainedError(MAX_DRAINED_NODES)
         self.drained_nodes[command.node] = True
--- a/rushmux/fleet/quotas.py
+++ b/rushmux/fleet/quotas.py
@@ -17,7 +17,7 @@
 LEASE_DURATION = 10.0  # seconds from the edge's request until its grant expires
 MAX_CLOCK_DRIFT = 0.01  # maximum relative difference between the rates of two clocks
 SAFE_FRACTION = 0.25  # of a limit, split evenly into safe quotas
-HYSTERESIS = 0.1  # of a quota; sending smaller changes would update hundreds of edges each second
+HYSTERESIS = 0.1  # of a quota; smaller changes are skipped, or hundreds of edges would change each second
 MIN_DEMAND = 0.02  # assumed for each edge, as room for a first burst
 DEMAND_SMOOTHING = 0.5  # weight of the newest demand in the moving average
 EPSILON = 1e-9
@@ -63,7 +63,7 @@
 
     def __init__(self, quota: float):
         self.reserved = quota
-        """The maximum that the edge may use now, whichever grants it has received."""
+        """The maximum that the edge may use now, whichever of its grants have arrived."""
         self.last_sent = quota
         self.demand = 0.0
         """Moving average of the reported demand."""
@@ -112,7 +112,7 @@
         self._expire_leases(now)
         self._release_lowered(edge, applied)
         if edge not in self.lease_expiry and len(self.lease_expiry) >= self.max_edges:
-            return QuotaGrant(edge, self.term, 0, request_id, {})  # more edges than `max_edges`
+            return QuotaGrant(edge, self.term, 0, request_id, {})
         self.lease_expiry[edge] = _planner_lease_end(now)
         quotas = {}
         for folder, demand in demands.items():
@@ -135,7 +135,7 @@
         return reserved + self.safe_quota * (self.max_edges - len(reservations))
 
     def _release_lowered(self, edge: str, applied: GrantId | None) -> None:
-        """Releases what the latest grant lowered, once the edge confirms that grant."""
+        """Frees the difference to the latest grant's quotas once the edge confirms that grant."""
         last_grant = self.latest_grants.get(edge)
         if last_grant is None or applied != last_grant.grant_id:
             return
--- a/rushmux/fleet/raft/configuration.py
+++ b/rushmux/fleet/raft/configuration.py
@@ -5,7 +5,7 @@
 
 from rushmux.fleet.errors import MembershipChangeError
 
-MAX_MEMBERS = 9  # more members add no safety
+MAX_MEMBERS = 9  # tolerates four failures; more are not needed
 
 
 class MembershipChange(NamedTuple):
--- a/rushmux/fleet/raft/elections.py
+++ b/rushmux/fleet/raft/elections.py
@@ -9,7 +9,7 @@
 from rushmux.fleet.raft.messages import Message, PersistentState, RequestVote, RequestVoteResponse
 
 ELECTION_TIMEOUT = 1.0  # minimum seconds without a leader until a member starts an election
-ELECTION_JITTER = 1.0  # maximum seconds added at random, so that candidates seldom split the votes
+ELECTION_JITTER = 1.0  # maximum seconds added at random, which makes split votes rare
 JITTER_STEPS_PER_SECOND = 100
 
 
--- a/rushmux/fleet/raft/log.py
+++ b/rushmux/fleet/raft/log.py
@@ -65,9 +65,9 @@
         return self.snapshot.members
 
     def possible_match_before(self, index: int) -> int:
-        """Returns the last index that may match a leader's log with another term at `index`.
+        """Returns the last index that may match the log of a leader whose term at `index` differs.
 
-        It skips all entries of the conflicting term at once, but no committed one.
+        Skips all entries of the conflicting term at once, but no committed one.
         """
         conflicting_term = self.term_at(index)
         match_index = min(index - 1, self.last_index)
--- a/rushmux/fleet/raft/node.py
+++ b/rushmux/fleet/raft/node.py
@@ -34,7 +34,7 @@
     ):
         super().__init__(member_id, state, now, random_below)
         self.learners: dict[str, bool] = {}
-        """Nodes that receive the log before they become members (an ordered set)."""
+        """Non-members that receive the log so that they can be added (an ordered set)."""
         self.round = 0
         """Number of broadcasts this member has sent as a leader."""
         self.progress = ReplicationProgress(member_id)
@@ -129,7 +129,7 @@
         commit_index = self.log.commit_index
         if self.log.members_at(commit_index) != self.members:
             raise MembershipChangeError("the previous membership change is not committed yet", change.members)
-        # Otherwise two leaders with different pending changes could rely on disjoint majorities.
+        # Two leaders with different uncommitted changes could else rely on disjoint majorities.
         if self.log.term_at(commit_index) != self.term:
             raise MembershipChangeError(
                 "this leader has not committed an entry of its term yet", change.members
@@ -296,7 +296,7 @@
 
 
 def _is_pre_vote(message: Message) -> bool:
-    """Whether the message's term is only proposed by a pre-vote, not entered by any member."""
+    """Whether the message has the term of a pre-vote, which its sender has not entered."""
     if isinstance(message, RequestVote):
         return message.pre_vote
     return isinstance(message, RequestVoteResponse) and message.pre_vote and message.granted
