--- a/rushmux/fleet/membership.py
+++ b/rushmux/fleet/membership.py
@@ -18,7 +18,7 @@
 LEASE_DURATION = 6.0  # seconds without a report until removal; covers three lost reports and a long pause
 REPORT_INTERVAL = 1.0  # seconds
 DISCONNECT_GRACE = 1.0  # seconds from a lost connection until removal; allows for a few reconnect attempts
-MAX_TICK_GAP = 2.0  # seconds between two calls; a longer gap means a paused planner or a clock jump
+MAX_CALL_GAP = 2.0  # seconds between two calls; a longer gap means a paused planner or a clock jump
 SUSPICION_FACTOR = 4.0  # a member is suspected after this many times its usual gap between reports
 REPORT_GAPS_KEPT = 16
 INCARNATIONS_KEPT = 16
@@ -169,7 +169,7 @@
 
     def __init__(self, now: float):
         self.members: dict[str, Member] = {}
-        self.last_tick_at = now
+        self.last_call_at = now
         self.mass_failure_since: float | None = None
 
     def restore(self, now: float, stored: Iterable[StoredMember]) -> None:
@@ -215,13 +215,13 @@
         self._compensate_pause(now)
 
     def tick(self, now: float) -> list[StateChange]:
-        """Expires leases and updates all states; to be called more often than every `MAX_TICK_GAP`."""
+        """Expires leases and updates all states; to be called more often than every `MAX_CALL_GAP`."""
         self._compensate_pause(now)
-        self.last_tick_at = now
+        self.last_call_at = now
         expiring = [
             member for member in self.members.values() if member.is_living and now >= member.lease_expiry
         ]
-        if self._is_own_failure(now, expiring):
+        if self._is_likely_partitioned(now, expiring):
             return []
         changes = []
         for member in list(self.members.values()):
@@ -263,16 +263,16 @@
 
     def _compensate_pause(self, now: float) -> None:
         """Extends all leases by a pause of this planner or a clock jump, as no reports arrived during it."""
-        excess = now - self.last_tick_at - MAX_TICK_GAP
-        self.last_tick_at = max(self.last_tick_at, now)
+        excess = now - self.last_call_at - MAX_CALL_GAP
+        self.last_call_at = max(self.last_call_at, now)
         if excess <= 0:
             return
         for member in self.members.values():
             if member.state != MemberState.REMOVED:
-                member.lease_expiry += excess + MAX_TICK_GAP
-                member.last_report_at += excess + MAX_TICK_GAP
+                member.lease_expiry += excess + MAX_CALL_GAP
+                member.last_report_at += excess + MAX_CALL_GAP
 
-    def _is_own_failure(self, now: float, expiring: list[Member]) -> bool:
+    def _is_likely_partitioned(self, now: float, expiring: list[Member]) -> bool:
         """Whether so many leases expire together that this planner is likely partitioned.
 
         False again once that has lasted for `MASS_FAILURE_GRACE`.
--- a/rushmux/fleet/raft/log.py
+++ b/rushmux/fleet/raft/log.py
@@ -110,21 +110,21 @@
         """
         if not self.snapshot.index < index <= self.last_applied:
             raise CompactionError(index, self.last_applied, self.snapshot.index)
-        self._drop_until(Snapshot(index, self.term_at(index), self.members_at(index), state))
+        self._compact_into(Snapshot(index, self.term_at(index), self.members_at(index), state))
 
     def install(self, snapshot: Snapshot) -> None:
         """Installs a leader's snapshot, unless everything in it is already committed here."""
         if snapshot.index <= self.commit_index:
             return
         if self.term_at(snapshot.index) == snapshot.term:
-            self._drop_until(snapshot)
+            self._compact_into(snapshot)
         else:
             self._replace_all(snapshot)
         self.commit_index = self.last_applied = snapshot.index
         self.snapshot_to_restore = snapshot
         self.members = self.members_at(self.last_index)
 
-    def _drop_until(self, snapshot: Snapshot) -> None:
+    def _compact_into(self, snapshot: Snapshot) -> None:
         self.entries = self.entries[snapshot.index - self.snapshot.index :]
         self.snapshot = self.snapshot_to_persist = snapshot
         self.persisted_index = max(self.persisted_index, snapshot.index)
--- a/rushmux/planner/fleet_state.py
+++ b/rushmux/planner/fleet_state.py
@@ -56,13 +56,13 @@
             ],
         )
 
-    def remove_forgotten_nodes(self) -> list[str]:
+    def remove_former_nodes(self) -> list[str]:
         """Removes nodes that are no longer members, and returns their names."""
-        forgotten = [name for name in self.nodes if name not in self.membership.members]
-        for name in forgotten:
+        former = [name for name in self.nodes if name not in self.membership.members]
+        for name in former:
             del self.nodes[name]
             self.reasons.pop(name, None)
-        return forgotten
+        return former
 
     def member_nodes(self) -> dict[str, NodeRecord]:
         """Returns the reports of nodes that are members."""
--- a/rushmux/planner/member_tracker.py
+++ b/rushmux/planner/member_tracker.py
@@ -37,9 +37,9 @@
         for peer in list(self._publisher.subscribers):
             self._mark_alive(peer.name, MemberKind.EDGE, peer.hello.start, in_flight=0)
         self._publisher.on_member_changes(self._state.membership.tick(self._now()))
-        forgotten = self._state.remove_forgotten_nodes()
-        if self._publisher.unsaved or forgotten:
-            self._publisher.save(forgotten)
+        former = self._state.remove_former_nodes()
+        if self._publisher.unsaved or former:
+            self._publisher.save(former)
 
     def on_edge_connected(self, peer: PeerConnection) -> None:
         """Registers an edge, and subscribes it to the endpoint list.
--- a/rushmux/planner/raft_codec.py
+++ b/rushmux/planner/raft_codec.py
@@ -9,7 +9,7 @@
 from rushmux.fleet.policy import LeaseGrant, Policy
 from rushmux.nodewire import WireError, messages
 
-MAX_ENTRY_BYTES = 512 << 10  # of the entries in one message; a frame holds 1 MiB
+MAX_ENTRIES_BYTES = 512 << 10  # of the entries in one message; a frame holds 1 MiB
 ENTRY_OVERHEAD = 64  # maximum bytes of an entry besides its body
 
 KINDS: dict[type, str] = {
@@ -134,7 +134,7 @@
     encoded, size = [], 0
     for entry in entries:
         size += len(entry.body) + ENTRY_OVERHEAD
-        if encoded and size > MAX_ENTRY_BYTES:
+        if encoded and size > MAX_ENTRIES_BYTES:
             break
         encoded.append(_encode_entry(entry))
     return encoded
