--- a/rushmux/planner/admin_client.py
+++ b/rushmux/planner/admin_client.py
@@ -10,7 +10,7 @@
 from rushmux.planner.errors import CommandRejectedError, PlannerUnavailableError
 
 ANSWER_TIMEOUT = 10.0  # seconds; longer than a planner's `proposals.PROPOSAL_TIMEOUT`
-MAX_ROUNDS = 4  # of attempts at all planners; electing a new leader takes about three seconds
+MAX_ROUNDS = 4  # each tries all planners; electing a new leader takes about three seconds
 ROUND_PAUSE = 1.0  # seconds between rounds
 READ_SIZE = 1 << 16  # bytes per read from a socket
 
--- a/rushmux/planner/endpoint_publisher.py
+++ b/rushmux/planner/endpoint_publisher.py
@@ -92,7 +92,7 @@
     def _publish(self) -> None:
         self._timer = None
         pending, self._pending = self._pending, {}
-        if not self._is_leader():  # another planner's list is newer by now
+        if not self._is_leader():  # the new leader's list is newer
             return
         nodes = {
             name: self._state.nodes[name]
@@ -115,8 +115,8 @@
     def save(self, changed: Iterable[str], version: int | None = None) -> None:
         """Stores changed members, and those that could not be stored before.
 
-        What edges are notified of must survive a crash of this planner.  A failed write is logged and is
-        repeated with the next call.
+        What edges are notified of must survive a crash of this planner.  A failed write is logged, and
+        repeated by the next call.
         """
         self.unsaved.update(dict.fromkeys(changed, True))
         rows, removed = [], []
@@ -141,7 +141,7 @@
         for name, node in nodes.items():
             entry = listing.entries.add()
             entry.CopyFrom(node.entry)
-            # The list has the planner's decision about a node, not what the node reported.
+            # The planner's decision about the node, not the state that the node reported.
             state = self._state.membership.members[name].state
             entry.condition = PUBLISHED_STATES.get(state, state)
             entry.age += int((now - node.reported_at) * TICKS_PER_SECOND)
--- a/rushmux/planner/fleet_state.py
+++ b/rushmux/planner/fleet_state.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the fleet: members, nodes' reports, drains and reasons for states."""
+"""The leader's view of the fleet: members, nodes' reports, drains and reasons for states."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
--- a/rushmux/planner/member_tracker.py
+++ b/rushmux/planner/member_tracker.py
@@ -13,7 +13,7 @@
 MAX_AGE = 1 << 53  # tenths of a millisecond, leaving room for the time added while the entry is listed
 MAX_PORT = 65_535
 MAX_TEXT_LENGTH = 255  # characters of a name, a host, a zone or an incarnation
-DRAINING = "draining"  # condition that a node reports to ask for its drain
+DRAINING = "draining"  # a node that reports this condition requests its own drain
 
 
 class MemberTracker:
@@ -52,7 +52,7 @@
         self._publisher.subscribe(peer)
 
     def on_disconnected(self, peer: PeerConnection) -> None:
-        """Gives a member whose last connection ended a short time to come back."""
+        """Gives a member whose last connection ended a short time to reconnect."""
         self._publisher.unsubscribe(peer)
         name = self._member_of.pop(peer, None)
         if name is not None and name not in self._member_of.values():
@@ -90,9 +90,9 @@
                 f"node {entry.node} has an invalid age {entry.age} or address '{entry.host}':{entry.port}"
             )
         if any(len(text) > MAX_TEXT_LENGTH for text in (entry.node, entry.host, entry.zone, entry.start)):
-            raise WireError(f"a name, host, zone or incarnation of more than {MAX_TEXT_LENGTH} characters")
+            raise WireError(f"a name, host, zone or incarnation exceeds {MAX_TEXT_LENGTH} characters")
         if len(self._state.nodes) >= MAX_NODES and entry.node not in self._state.nodes:
-            raise WireError(f"more than {MAX_NODES} nodes")
+            raise WireError(f"the maximum of {MAX_NODES} nodes is reached")
 
     def _mark_alive(self, name: str, kind: MemberKind, incarnation: str, in_flight: int) -> None:
         try:
--- a/rushmux/planner/membership_store.py
+++ b/rushmux/planner/membership_store.py
@@ -1,7 +1,7 @@
 """A planner's membership on disk: members, drains, the endpoint list's version and the planner's term.
 
 The store is an SQLite file; each change is one transaction, and each row has a checksum.  Changes are stored
-before edges are notified of them, so that a killed planner does not forget what edges were told.
+before edges are notified of them, so that they survive a crash of the planner.
 """
 
 import sqlite3
@@ -77,7 +77,7 @@
         if stored.get("format", STORE_FORMAT) != STORE_FORMAT:
             raise MembershipStoreError(
                 self.path,
-                f"format {stored['format']}, this planner reads {STORE_FORMAT}; run a newer version of it",
+                f"format {stored['format']}, this planner reads {STORE_FORMAT}; run a newer version",
             )
         self.term = stored.get("term", 0) + 1
         self.version = stored.get("version", 0)
--- a/rushmux/planner/planner.py
+++ b/rushmux/planner/planner.py
@@ -207,7 +207,7 @@
             raise WireError("this planner does not lead")
         handler = handler or self._leader_handlers.get(kind)
         if handler is None or (kind in EDGE_ONLY_MESSAGES and peer not in self.publisher.subscribers):
-            raise WireError(f"{kind} is not for a planner")
+            raise WireError(f"{kind} messages are not accepted here")
         handler(peer, body)
 
     # Nodes and edges.
@@ -217,7 +217,7 @@
         self._send_floor(peer)
 
     def _send_floor(self, peer: PeerConnection) -> None:
-        """Tells a node the fencing floor, below which it rejects operations."""
+        """Sends a node the policy version below which it rejects operations."""
         if self.replicated_log is None or self._floor is None:
             return
         floor = self._floor.floor_to_send(self.replicated_log.policy.fencing_floor, self.loop.time())
@@ -232,7 +232,7 @@
 
     def _on_raft_message(self, peer: PeerConnection, message: messages.Word) -> None:
         if not self._is_own_message(peer, message):
-            raise WireError(f"{peer.name} sent a Raft message of {message.sender}")
+            raise WireError(f"{peer.name} sent a Raft message in the name of {message.sender}")
         self.replicated_log.on_message(message)
 
     def _is_own_message(self, peer: PeerConnection, message: messages.Word) -> bool:
--- a/rushmux/planner/policy_admin.py
+++ b/rushmux/planner/policy_admin.py
@@ -15,7 +15,7 @@
 from rushmux.settings import policy as policy_documents
 from rushmux.settings.deployment import Deployment, DeploymentError
 
-MAX_COMMAND_BYTES = 512 << 10  # bytes
+MAX_COMMAND_BYTES = 512 << 10
 MAX_NUMBER = 1 << 53  # of a version or a client's command; JSON numbers are exact up to this
 MAX_NAME_LENGTH = 64  # characters of a client id or an operator's name
 
--- a/rushmux/planner/policy_floor.py
+++ b/rushmux/planner/policy_floor.py
@@ -1,10 +1,10 @@
-"""Decides when storage nodes learn the fencing floor: the oldest policy that a member may still apply."""
+"""Decides when nodes learn the fencing floor: the oldest policy version that a member may still apply."""
 
 from rushmux.scheduling.driver import TICKS_PER_SECOND
 from rushmux.settings.deployment import Deployment
 
 GRACE_PERIOD = 1.0  # seconds beyond the longest deadline, for network delay and late timers
-FIRST_VERSION = 1  # of a policy: there are no older ones to reject
+FIRST_VERSION = 1  # of a policy; nodes have no older ones to reject
 
 
 class PolicyFloor:
--- a/rushmux/planner/policy_leader.py
+++ b/rushmux/planner/policy_leader.py
@@ -98,7 +98,7 @@
             self._call_logging_errors(partial(_send_grant, holder, grant))
 
     def _call_logging_errors(self, answer: Callable[[], None]) -> None:
-        """Answers one peer, logging any error: it must not end a step that serves other peers too."""
+        """Answers one peer and logs any error, which must not affect the other peers."""
         try:
             answer()
         except Exception:
--- a/rushmux/planner/proposals.py
+++ b/rushmux/planner/proposals.py
@@ -30,7 +30,7 @@
     def add(self, index: int, term: int, command: StoredCommand) -> asyncio.Future:
         """Adds the proposal of an entry, and returns a future of its command's result."""
         result = asyncio.get_running_loop().create_future()
-        # Retrieves the exception: the leader does not await the results of its own proposals.
+        # Retrieves the exception, or asyncio logs it: the leader does not await its own proposals.
         result.add_done_callback(lambda _: result.cancelled() or result.exception())
         self._proposals[index] = _Proposal(term, command, result)
         return result
@@ -40,7 +40,7 @@
         return any(is_same_change(proposal.command, command) for proposal in self._proposals.values())
 
     def resolve(self, index: int, term: int, result: str) -> None:
-        """Ends the proposal at an applied entry's index: it has a result, or was overwritten."""
+        """Ends the proposal at an applied entry's index; it was overwritten if the terms differ."""
         proposal = self._proposals.pop(index, None)
         if proposal is None or proposal.result.done():
             return
--- a/rushmux/planner/quota_service.py
+++ b/rushmux/planner/quota_service.py
@@ -1,4 +1,4 @@
-"""Answers edges' requests for quotas, which are parts of the folders' limits."""
+"""Answers edges' requests for quotas, their shares of the folders' limits."""
 
 from collections.abc import Callable, Iterable
 
@@ -42,8 +42,8 @@
     def on_request(self, peer: PeerConnection, request: messages.Ask, clock: Callable[[], float]) -> None:
         """Answers an edge's request once a majority has confirmed that this planner leads.
 
-        A replaced leader would grant quotas that others hold by now.  One request of each edge waits at a
-        time; further ones are dropped, and the edge repeats them.
+        A replaced leader would grant quotas that its successor grants too.  One request of each edge waits
+        at a time; further ones are dropped, as edges send new ones anyway.
 
         Raises:
             WireError: the request is invalid.
--- a/rushmux/planner/raft_codec.py
+++ b/rushmux/planner/raft_codec.py
@@ -1,6 +1,6 @@
 """Converts Raft messages, policies and lease grants between `fleet` records and wire messages; no I/O.
 
-One wire message stands for all kinds of Raft messages; its kind determines which of its fields are used.
+All kinds of Raft messages share the wire message `Word`, whose `kind` tells which fields are used.
 """
 
 from collections.abc import Callable, Collection, Iterable
--- a/rushmux/planner/raft_storage.py
+++ b/rushmux/planner/raft_storage.py
@@ -133,7 +133,7 @@
     def _replay(self, bodies: Iterable[bytes]) -> PersistentState:
         """Rebuilds the state from the records; raises ValueError if they are invalid."""
         if not bodies:
-            raise ValueError("no incarnation: the planner was killed while creating the file")
+            raise ValueError("the file holds no complete record")
         term, voted_for, snapshot = 0, None, Snapshot(0, 0, (), b"")
         entries: dict[int, Entry] = {}
         for body in bodies:
--- a/rushmux/planner/raft_transport.py
+++ b/rushmux/planner/raft_transport.py
@@ -66,7 +66,7 @@
 
     async def _stay_connected(self, name: str) -> None:
         while True:
-            # Not logged: the others elect a leader without a planner that is down.
+            # Not logged: a planner that is down is no fault while the others have a majority.
             with contextlib.suppress(OSError, WireError, TimeoutError):
                 await self._connect(name)
             await asyncio.sleep(RECONNECT_PAUSE)
--- a/rushmux/planner/replicated_log.py
+++ b/rushmux/planner/replicated_log.py
@@ -34,7 +34,7 @@
 
 TICK_INTERVAL = 0.1  # seconds between ticks of the Raft node
 COMPACTION_THRESHOLD = 200  # entries above which the log is compacted
-MAX_ENTRY_BYTES = 512 << 10  # of a command, so that it fits in a frame with its envelope
+MAX_ENTRY_BYTES = 512 << 10  # of one command, to fit in a frame with its envelope
 UNREADABLE_COMMAND_ERRORS = (AttributeError, IndexError, KeyError, OverflowError, TypeError, ValueError)
 """Raised by a command whose fields do not match its kind."""
 STORAGE_RETRY_INTERVAL = 1.0  # seconds until a failed disk is tried again
@@ -101,7 +101,7 @@
     def start(self) -> None:
         """Starts ticking, and connecting to the other planners."""
         self._transport.start()
-        # A step that fails halfway may leave the node unlike its disk, so the program must restart from that.
+        # A step that fails may leave the node's memory different from its disk, so the program must restart.
         self._supervisor.run_essential("raft_ticks", self._run_ticks)
 
     def close(self) -> None:
--- a/rushmux/planner/server.py
+++ b/rushmux/planner/server.py
@@ -1,4 +1,4 @@
-"""Base of servers on the nodes' wire: greeting, message loop, end of connections."""
+"""Base of servers of the `nodewire` protocol: greeting, message loop, end of connections."""
 
 import asyncio
 
@@ -50,7 +50,7 @@
             return
         try:
             encoded = frame(messages.Message(**body))
-        except WireError as error:  # not raised: that would end a step that serves other peers too
+        except WireError as error:  # not raised: the caller may be serving other peers too
             self._log.error("peer.message_too_long", peer=self.name, why=str(error))
             transport.abort()
             return
@@ -132,7 +132,7 @@
         Raises:
             WireError: the message is not allowed; its connection is closed.
         """
-        raise WireError(f"{kind} is not for this program")
+        raise WireError(f"{kind} messages are not accepted here")
 
     # Connections.
 
@@ -146,7 +146,7 @@
             await self._serve_client(client, reader, writer)
         except (OSError, WireError, TimeoutError) as error:
             reason = str(error) or type(error).__name__
-        except Exception as error:  # whatever it is, the other connections go on
+        except Exception as error:  # must not affect the other connections
             reason = type(error).__name__
             self.log.exception("peer.fault", peer=client.peer.name if client.peer is not None else "")
         except asyncio.CancelledError:
@@ -190,7 +190,7 @@
     def _welcome(self, writer: asyncio.StreamWriter, greeting: messages.Message) -> PeerConnection:
         """Checks a peer's greeting and answers it."""
         if greeting.WhichOneof("body") != "hello" or greeting.hello.version != VERSION:
-            raise WireError("no greeting, or one of another protocol version")
+            raise WireError(f"the first message is no greeting of protocol version {VERSION}")
         peer = PeerConnection(writer, greeting.hello, self.log)
         peer.send(
             welcome=messages.Welcome(version=VERSION, peer=self.name, start=self.incarnation, age=self.age())
--- a/tests/planner/test_server.py
+++ b/tests/planner/test_server.py
@@ -82,5 +82,5 @@
     message = messages.Message(meter=messages.Meter())
     server, _, closed_after = converse(HELLO, message)
     assert closed_after < 1.0 and server.events[-1] == ("disconnected", "edge0")
-    with pytest.raises(WireError, match="meter is not for this program"):
+    with pytest.raises(WireError, match="meter messages are not accepted here"):
         PeerServer.on_message(server, None, "meter", message.meter)
