--- a/rushmux/planner/admin_client.py
+++ b/rushmux/planner/admin_client.py
@@ -23,15 +23,15 @@
     """Sends a command about the fleet's members.
 
     Args:
-        addresses: one planner, or all of them; the leader answers.
-        verb: a `commands.FleetVerb`.
-        member: the node that the command applies to.
+        addresses: One planner, or all of them; the leader answers.
+        verb: A `commands.FleetVerb`.
+        member: The node that the command applies to.
 
     Returns:
         The members after the command.
 
     Raises:
-        CommandRejectedError: the command was refused, or no planner could be reached.
+        CommandRejectedError: The command was refused, or no planner could be reached.
     """
     request = messages.Message(order=messages.Order(verb=verb, member=member))
     return await _request(addresses, request, "ordered")
@@ -43,16 +43,16 @@
     """Sends a command about the fleet's policy.
 
     Args:
-        addresses: one planner, or all of them; the leader answers.
-        verb: a `commands.PolicyVerb`.
-        **fields: the command's fields.  `client` and `n` are its idempotency key: a command sent again with
+        addresses: One planner, or all of them; the leader answers.
+        verb: A `commands.PolicyVerb`.
+        **fields: The command's fields.  `client` and `n` are its idempotency key: a command sent again with
             the same key is applied once.
 
     Returns:
         The command's result, and the policy's state.
 
     Raises:
-        CommandRejectedError: the command was refused, or no planner could be reached.
+        CommandRejectedError: The command was refused, or no planner could be reached.
     """
     request = messages.Message(policy_order=messages.PolicyOrder(verb=verb, order=orjson.dumps(fields)))
     return await _request(addresses, request, "policy_answer")
--- a/rushmux/planner/endpoint_publisher.py
+++ b/rushmux/planner/endpoint_publisher.py
@@ -22,9 +22,9 @@
     """Stores changes of the fleet's members, and sends them to subscribed edges.
 
     Attributes:
-        version: the version of the endpoint list that edges were last notified of.
-        unsaved: members whose changes are not stored yet.
-        subscribers: the edges' connections.
+        version: The version of the endpoint list that edges were last notified of.
+        unsaved: Members whose changes are not stored yet.
+        subscribers: The edges' connections.
     """
 
     def __init__(
--- a/rushmux/planner/errors.py
+++ b/rushmux/planner/errors.py
@@ -11,7 +11,7 @@
     """An operator's command was not carried out.
 
     Attributes:
-        reason: the reason given by the planner or the network.
+        reason: The reason given by the planner or the network.
     """
 
     def __init__(self, reason: str):
@@ -30,7 +30,7 @@
     """The replicated log did not accept a command.
 
     Attributes:
-        reason: why not.
+        reason: Why it was not accepted.
     """
 
     def __init__(self, reason: str):
@@ -49,7 +49,7 @@
     """A command for the leader reached another planner.
 
     Attributes:
-        leader: the leader's member id, or None if unknown.
+        leader: The leader's member id, or None if unknown.
     """
 
     def __init__(self, leader: str | None, unknown: str = "no planner that is known here"):
@@ -70,8 +70,8 @@
     """A membership store cannot be opened.
 
     Attributes:
-        path: the store's file.
-        reason: what is wrong with it.
+        path: The store's file.
+        reason: What is wrong with it.
     """
 
 
@@ -79,6 +79,6 @@
     """A planner cannot use its stored Raft log.
 
     Attributes:
-        path: the log's file.
-        reason: what is wrong with it.
+        path: The log's file.
+        reason: What is wrong with it.
     """
--- a/rushmux/planner/fleet_state.py
+++ b/rushmux/planner/fleet_state.py
@@ -12,8 +12,8 @@
     """A node's last report.
 
     Attributes:
-        entry: the node's entry for the endpoint list.
-        reported_at: when the report arrived, in seconds of the event loop's clock.
+        entry: The node's entry for the endpoint list.
+        reported_at: When the report arrived, in seconds of the event loop's clock.
     """
 
     entry: messages.Entry
@@ -24,11 +24,11 @@
     """The fleet during one term of leadership.
 
     Attributes:
-        term: the term in which this state was restored.
-        membership: the members and their states.
-        nodes: node name -> last report.
-        drained: nodes that operators drained.
-        reasons: member -> why it is in its state.
+        term: The term in which this state was restored.
+        membership: The members and their states.
+        nodes: The nodes' last reports by node name.
+        drained: Nodes that operators drained.
+        reasons: Why each member is in its state, by its name.
     """
 
     def __init__(self):
--- a/rushmux/planner/member_replacement.py
+++ b/rushmux/planner/member_replacement.py
@@ -19,9 +19,9 @@
     """The leader's part in the replacement of members.
 
     Args:
-        planners: names of all planners of the fleet.
-        log: the logger.
-        warnings: the logger of recurring failures.
+        planners: Names of all planners of the fleet.
+        log: The logger.
+        warnings: The logger of recurring failures.
     """
 
     def __init__(
--- a/rushmux/planner/member_tracker.py
+++ b/rushmux/planner/member_tracker.py
@@ -20,9 +20,9 @@
     """Keeps the membership up to date, and has changes published.
 
     Args:
-        state: the fleet's state, which this object modifies.
-        publisher: stores changes and sends them to the edges.
-        cells: number of shards of the fleet's data.
+        state: The fleet's state, which this object modifies.
+        publisher: Stores changes and sends them to the edges.
+        cells: Number of shards of the fleet's data.
     """
 
     def __init__(self, state: FleetState, publisher: EndpointPublisher, cells: int):
@@ -45,7 +45,7 @@
         """Registers an edge, and subscribes it to the endpoint list.
 
         Raises:
-            WireError: there are too many members.
+            WireError: There are too many members.
         """
         self._member_of[peer] = peer.name
         self._mark_alive(peer.name, MemberKind.EDGE, peer.hello.start, in_flight=0)
@@ -62,7 +62,7 @@
         """Handles a node's report.
 
         Raises:
-            WireError: the report is invalid, or there are too many members.
+            WireError: The report is invalid, or there are too many members.
         """
         entry, now = report.entry, self._now()
         self._check_entry(peer, entry)
--- a/rushmux/planner/membership_store.py
+++ b/rushmux/planner/membership_store.py
@@ -27,11 +27,11 @@
     """One stored member.
 
     Attributes:
-        name: the member's name.
-        kind: the value of the member's `MemberKind`.
-        incarnation: differs at each start of the member.
-        draining: whether operators drained the member.
-        entry: a node's serialized `messages.Entry`; empty for an edge.
+        name: The member's name.
+        kind: The value of the member's `MemberKind`.
+        incarnation: Differs at each start of the member.
+        draining: Whether operators drained the member.
+        entry: A node's serialized `messages.Entry`; empty for an edge.
     """
 
     name: str
@@ -61,12 +61,12 @@
     """The store of one planner.
 
     Attributes:
-        path: the file's path, or `IN_MEMORY`.
-        term: the planner's term if it has no replicated log; increases at each start.
-        version: the last stored version of the endpoint list.
+        path: The file's path, or `IN_MEMORY`.
+        term: The planner's term if it has no replicated log; increases at each start.
+        version: The last stored version of the endpoint list.
 
     Raises:
-        MembershipStoreError: the file is not a membership store, or has a newer format.
+        MembershipStoreError: The file is not a membership store, or has a newer format.
     """
 
     def __init__(self, path: str | Path):
@@ -113,7 +113,7 @@
         """Stores and removes members and stores the endpoint list's version, in one transaction.
 
         Raises:
-            OSError: the write failed; nothing was stored.
+            OSError: The write failed; nothing was stored.
         """
         try:
             self._connection.execute("begin immediate")
--- a/rushmux/planner/planner.py
+++ b/rushmux/planner/planner.py
@@ -41,14 +41,14 @@
     """One planner.
 
     Args:
-        cells: number of shards of the fleet's data.
-        store: the planner's stored membership.
-        log: the logger.
-        record: called with what is published or committed, for checkers of recorded histories.
-        limited_folders: names of the folders that have limits.
-        gateway_count: the maximum number of edges.
-        deployment: its policy becomes the fleet's first one; None: the fleet has no policy.
-        replication: the planners that decide together; None: this one decides alone.
+        cells: Number of shards of the fleet's data.
+        store: The planner's stored membership.
+        log: The logger.
+        record: Called with what is published or committed, for checkers of recorded histories.
+        limited_folders: Names of the folders that have limits.
+        gateway_count: The maximum number of edges.
+        deployment: Its policy becomes the fleet's first one; None: the fleet has no policy.
+        replication: The planners that decide together; None: this one decides alone.
     """
 
     def __init__(
@@ -104,8 +104,8 @@
         """Starts serving, and returns the port.
 
         Raises:
-            RaftStorageError: the stored log cannot be used.
-            OSError: the address cannot be used.
+            RaftStorageError: The stored log cannot be used.
+            OSError: The address cannot be used.
         """
         self.loop = asyncio.get_running_loop()
         self._begin_term(self.store.term)
--- a/rushmux/planner/policy_floor.py
+++ b/rushmux/planner/policy_floor.py
@@ -23,8 +23,8 @@
         """Returns the floor to send to nodes, or None if there is none yet.
 
         Args:
-            floor: the floor in the replicated state.
-            now: seconds of the event loop's clock.
+            floor: The floor in the replicated state.
+            now: Seconds of the event loop's clock.
         """
         if floor <= FIRST_VERSION:
             return None
--- a/rushmux/planner/policy_leader.py
+++ b/rushmux/planner/policy_leader.py
@@ -35,10 +35,10 @@
     """Serves the policy's members while this planner leads.
 
     Args:
-        state: the replicated state.
-        now: when leadership began, in seconds of the event loop's clock.
-        bootstrap_command: returns the command that creates the fleet's first policy, or None.
-        log: the logger.
+        state: The replicated state.
+        now: When leadership began, in seconds of the event loop's clock.
+        bootstrap_command: Returns the command that creates the fleet's first policy, or None.
+        log: The logger.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         """Registers a lease request, to be answered once a majority has confirmed a later round.
 
         Raises:
-            WireError: the request names another member.
+            WireError: The request names another member.
         """
         if request.member != peer.name:
             raise WireError(f"{peer.name} requested a lease for {request.member}")
--- a/rushmux/planner/quota_service.py
+++ b/rushmux/planner/quota_service.py
@@ -14,9 +14,9 @@
     """Grants quotas while this planner leads.
 
     Args:
-        limited_folders: names of the folders that have limits.
-        gateway_count: the maximum number of edges.
-        confirm_leadership: calls a function once a majority has confirmed that this planner leads.
+        limited_folders: Names of the folders that have limits.
+        gateway_count: The maximum number of edges.
+        confirm_leadership: Calls a function once a majority has confirmed that this planner leads.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         at a time; further ones are dropped, as edges send new ones anyway.
 
         Raises:
-            WireError: the request is invalid.
+            WireError: The request is invalid.
         """
         # Checked before it waits: an error while answering would interrupt a step of the replicated log.
         _check(request)
--- a/rushmux/planner/raft_storage.py
+++ b/rushmux/planner/raft_storage.py
@@ -64,16 +64,16 @@
     """One planner's log file, used by one program at a time.
 
     Args:
-        path: the log file.
-        new_incarnation: draws the incarnation of a new disk.
+        path: The log file.
+        new_incarnation: Draws the incarnation of a new disk.
 
     Attributes:
-        persistent: the file's content; None until a new file is created.
-        incarnation: identifies this disk; the replacement of a lost disk has another.
-        is_new: whether there is no file yet.
+        persistent: The file's content; None until a new file is created.
+        incarnation: Identifies this disk; the replacement of a lost disk has another.
+        is_new: Whether there is no file yet.
 
     Raises:
-        RaftStorageError: another program holds the file, or it is damaged.
+        RaftStorageError: Another program holds the file, or it is damaged.
     """
 
     def __init__(self, path: str | Path, new_incarnation: Callable[[], str]):
@@ -107,8 +107,8 @@
         """Reads the file, and truncates an incomplete last record.
 
         Raises:
-            RaftStorageError: the file is too large, of another format or damaged.
-            OSError: the disk failed.
+            RaftStorageError: The file is too large, of another format or damaged.
+            OSError: The disk failed.
         """
         if self.path.stat().st_size > MAX_FILE_BYTES:
             raise RaftStorageError(self.path, f"larger than {MAX_FILE_BYTES} bytes")
@@ -176,7 +176,7 @@
         """Writes and syncs what the Raft node handed out.
 
         Raises:
-            OSError: the write failed; nothing of `ready` may be sent.
+            OSError: The write failed; nothing of `ready` may be sent.
         """
         bodies = []
         if ready.hard_state is not None:
--- a/rushmux/planner/raft_transport.py
+++ b/rushmux/planner/raft_transport.py
@@ -30,10 +30,10 @@
     """Sends Raft messages to the other planners.
 
     Args:
-        member_id: this planner's member id.
-        addresses: name -> (host, port) of each other planner.
-        warnings: the logger of recurring failures.
-        supervisor: runs the connections' tasks, and ends them with the program.
+        member_id: This planner's member id.
+        addresses: Host and port of each other planner by name.
+        warnings: The logger of recurring failures.
+        supervisor: Runs the connections' tasks, and ends them with the program.
     """
 
     def __init__(
--- a/rushmux/planner/replicated_log.py
+++ b/rushmux/planner/replicated_log.py
@@ -44,21 +44,21 @@
     """One planner's part in the log that all planners share.
 
     Args:
-        settings: the planners, and where the log is stored.
-        log: the logger.
-        on_leadership: called with True when this planner's leadership begins, and with False when it ends.
-        bootstrap_command: returns the command that creates the fleet's first policy, or None.
-        record: called with committed commands and changes of leadership, for checkers of recorded histories.
-        supervisor: runs its tasks.
+        settings: The planners, and where the log is stored.
+        log: The logger.
+        on_leadership: Called with True when this planner's leadership begins, and with False when it ends.
+        bootstrap_command: Returns the command that creates the fleet's first policy, or None.
+        record: Called with committed commands and changes of leadership, for checkers of recorded histories.
+        supervisor: Runs its tasks.
 
     Attributes:
-        storage: the log on disk.
-        node: the Raft node.
-        storage_failed_at: when the disk last failed or was retried, in seconds of the event loop's clock;
+        storage: The log on disk.
+        node: The Raft node.
+        storage_failed_at: When the disk last failed or was retried, in seconds of the event loop's clock;
             None: it works.
 
     Raises:
-        RaftStorageError: the stored log cannot be used.
+        RaftStorageError: The stored log cannot be used.
     """
 
     def __init__(
@@ -296,9 +296,9 @@
         """Proposes a command, and returns its result once it is committed and applied.
 
         Raises:
-            NotLeaderError: another planner leads.
-            ProposalUndecidedError: the outcome is not known; the command may still be committed.
-            ProposalRejectedError: the log does not accept it now.
+            NotLeaderError: Another planner leads.
+            ProposalUndecidedError: The outcome is not known; the command may still be committed.
+            ProposalRejectedError: The log does not accept it now.
         """
         if not self.is_leader:
             raise NotLeaderError(self.leader)
--- a/rushmux/planner/replicated_state.py
+++ b/rushmux/planner/replicated_state.py
@@ -17,8 +17,8 @@
     """The state after an entry of the log.
 
     Attributes:
-        policy: the fleet's policy.
-        index: the index of the last applied entry.
+        policy: The fleet's policy.
+        index: The index of the last applied entry.
     """
 
     def __init__(self, snapshot: raft.Snapshot):
--- a/rushmux/planner/replication_settings.py
+++ b/rushmux/planner/replication_settings.py
@@ -17,11 +17,11 @@
     """One planner's settings for taking part in the replicated log.
 
     Attributes:
-        name: this planner's name.
-        addresses: name -> (host, port) of all planners, including this one.
-        log_path: the log file.
-        random: source of election timeouts and of a new disk's incarnation.
-        bootstrap: whether this start creates the fleet, all planners beginning with the same configuration.
+        name: This planner's name.
+        addresses: Host and port of all planners by name, including this one.
+        log_path: The log file.
+        random: Source of election timeouts and of a new disk's incarnation.
+        bootstrap: Whether this start creates the fleet, all planners beginning with the same configuration.
     """
 
     name: str
@@ -35,8 +35,8 @@
     """Opens the log file, and creates it if there is none.
 
     Raises:
-        RaftStorageError: the file is damaged, or held by another program.
-        OSError: the disk failed.
+        RaftStorageError: The file is damaged, or held by another program.
+        OSError: The disk failed.
     """
     storage = RaftStorage(settings.log_path, lambda: f"{settings.random.getrandbits(INCARNATION_BITS):012x}")
     if storage.is_new and settings.bootstrap:
--- a/rushmux/planner/server.py
+++ b/rushmux/planner/server.py
@@ -18,8 +18,8 @@
     """A connection that a peer opened.
 
     Attributes:
-        writer: the connection's stream.
-        hello: the peer's greeting.
+        writer: The connection's stream.
+        hello: The peer's greeting.
     """
 
     def __init__(
@@ -69,9 +69,9 @@
     """Accepts peers, and passes each of their messages to `on_message`.
 
     Attributes:
-        name: the server's name in its greeting.
-        incarnation: differs at each start of the process.
-        port: the port that it listens on, if any.
+        name: The server's name in its greeting.
+        incarnation: Differs at each start of the process.
+        port: The port that it listens on, if any.
     """
 
     def __init__(self, name: str, incarnation: str, log: structlog.typing.FilteringBoundLogger):
@@ -125,12 +125,12 @@
         """Handles a message.
 
         Args:
-            peer: the sender.
-            kind: the name of the message's body.
-            body: the message's body.
+            peer: The sender.
+            kind: The name of the message's body.
+            body: The message's body.
 
         Raises:
-            WireError: the message is not allowed; its connection is closed.
+            WireError: The message is not allowed; its connection is closed.
         """
         raise WireError(f"{kind} messages are not accepted here")
 
--- a/rushmux/planner/stored_commands.py
+++ b/rushmux/planner/stored_commands.py
@@ -15,9 +15,9 @@
     """Who sent a command, and its idempotency key.
 
     Attributes:
-        client: the sender's id.
-        sequence: the command's number, which increases with each command of the client.
-        author: the operator's name.
+        client: The sender's id.
+        sequence: The command's number, which increases with each command of the client.
+        author: The operator's name.
     """
 
     client: str
@@ -29,8 +29,8 @@
     """A policy to propose.
 
     Attributes:
-        text: the settings that members apply, as JSON.
-        limits: folder, limit and burst of each folder with a limit.
+        text: The settings that members apply, as JSON.
+        limits: Folder, limit and burst of each folder with a limit.
     """
 
     text: str
