--- a/rushmux/fleet/errors.py
+++ b/rushmux/fleet/errors.py
@@ -43,11 +43,11 @@
         self.index = index
 
 
-class CommandRejectedError(FleetError):
+class PolicyCommandError(FleetError):
     """The policy state machine rejects a command; the message gives the reason."""
 
 
-class UnknownCommandError(CommandRejectedError):
+class UnknownCommandError(PolicyCommandError):
     """No command of this `kind` exists."""
 
     def __init__(self, kind: object):
@@ -55,7 +55,7 @@
         self.kind = kind
 
 
-class AlreadyBootstrappedError(CommandRejectedError):
+class AlreadyBootstrappedError(PolicyCommandError):
     """The fleet already has a policy, `active_version`."""
 
     def __init__(self, active_version: int):
@@ -63,14 +63,14 @@
         self.active_version = active_version
 
 
-class NoActivePolicyError(CommandRejectedError):
+class NoActivePolicyError(PolicyCommandError):
     """The fleet has no policy yet."""
 
     def __init__(self):
         super().__init__("the fleet has no first policy yet")
 
 
-class ChangeUnderWayError(CommandRejectedError):
+class ChangeUnderWayError(PolicyCommandError):
     """Another change, `version`, is staged."""
 
     def __init__(self, version: int, proposed_by: str):
@@ -78,7 +78,7 @@
         self.version = version
 
 
-class StaleBaseError(CommandRejectedError):
+class StaleBaseError(PolicyCommandError):
     """A change is based on version `base`, which is not active."""
 
     def __init__(self, base: int, active_version: int):
@@ -86,7 +86,7 @@
         self.base = base
 
 
-class PolicyTooLargeError(CommandRejectedError):
+class PolicyTooLargeError(PolicyCommandError):
     """A policy is larger than `limit` bytes."""
 
     def __init__(self, limit: int):
@@ -94,7 +94,7 @@
         self.limit = limit
 
 
-class MemberBehindError(CommandRejectedError):
+class MemberBehindError(PolicyCommandError):
     """`member` may still apply a version so old that no further change is accepted."""
 
     def __init__(self, member: str, version: int):
@@ -102,7 +102,7 @@
         self.member = member
 
 
-class PastPolicyError(CommandRejectedError):
+class PastPolicyError(PolicyCommandError):
     """The past policy `version` is not kept."""
 
     def __init__(self, version: int, kept: tuple[int, ...]):
@@ -113,7 +113,7 @@
         self.version = version
 
 
-class NotStagedError(CommandRejectedError):
+class NotStagedError(PolicyCommandError):
     """The change `version` is not staged."""
 
     def __init__(self, version: int):
@@ -121,7 +121,7 @@
         self.version = version
 
 
-class UnknownChangeError(CommandRejectedError):
+class UnknownChangeError(PolicyCommandError):
     """No change `version` is known."""
 
     def __init__(self, version: int):
@@ -129,7 +129,7 @@
         self.version = version
 
 
-class ChangeEndedError(CommandRejectedError):
+class ChangeEndedError(PolicyCommandError):
     """The change `version` has ended and cannot be withdrawn."""
 
     def __init__(self, version: int, outcome: str, *, revertible: bool):
@@ -137,7 +137,7 @@
         self.version = version
 
 
-class UnknownMemberError(CommandRejectedError):
+class UnknownMemberError(PolicyCommandError):
     """No member of this name exists."""
 
     def __init__(self, member: str):
@@ -145,7 +145,7 @@
         self.member = member
 
 
-class TooManyDrainedError(CommandRejectedError):
+class TooManyDrainedError(PolicyCommandError):
     """The maximum number of draining nodes, `limit`, is reached."""
 
     def __init__(self, limit: int):
@@ -153,7 +153,7 @@
         self.limit = limit
 
 
-class StaleVersionError(CommandRejectedError):
+class StaleVersionError(PolicyCommandError):
     """Members reported `version`, which is no longer active."""
 
     def __init__(self, version: int):
--- a/rushmux/fleet/policy/state_machine.py
+++ b/rushmux/fleet/policy/state_machine.py
@@ -7,11 +7,11 @@
     AlreadyBootstrappedError,
     ChangeEndedError,
     ChangeUnderWayError,
-    CommandRejectedError,
     MemberBehindError,
     NoActivePolicyError,
     NotStagedError,
     PastPolicyError,
+    PolicyCommandError,
     PolicyTooLargeError,
     StaleBaseError,
     StaleVersionError,
@@ -91,7 +91,7 @@
         """
         try:
             return self._execute(decode_command(stored))
-        except CommandRejectedError as error:
+        except PolicyCommandError as error:
             return f"refused: {error}"
 
     def _execute(self, command: Command) -> str:  # noqa: C901 - one case for each command
--- a/rushmux/standins/policy_mutants.py
+++ b/rushmux/standins/policy_mutants.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from rushmux.fleet.errors import CommandRejectedError
+from rushmux.fleet.errors import PolicyCommandError
 from rushmux.fleet.policy import (
     DEGRADED_FRACTION,
     LeaseGrant,
@@ -207,7 +207,7 @@
         staged, self.staged = self.staged, None
         try:
             return super().propose(command)
-        except CommandRejectedError:
+        except PolicyCommandError:
             self.staged = staged
             raise
 
@@ -218,7 +218,7 @@
     def require_staged(self, version: int) -> Policy:
         """Returns the staged change, whatever its version."""
         if self.staged is None:
-            raise CommandRejectedError("nothing is under way")
+            raise PolicyCommandError("nothing is under way")
         return self.staged
 
 
