--- a/rushmux/planner/fleet_state.py
+++ b/rushmux/planner/fleet_state.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the fleet: members, nodes' reports, drains and reasons for states."""
+"""The leader's view of the fleet: members, nodes' reports, drains and reasons for states."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -12,8 +12,8 @@
     """A node's last report.
 
     Attributes:
-        entry: the node's entry for the endpoint list.
-        reported_at: when the report arrived, in seconds of the event loop's clock.
+        entry: The node's entry for the endpoint list.
+        reported_at: When the report arrived, in seconds of the event loop's clock.
     """
 
     entry: messages.Entry
@@ -24,11 +24,11 @@
     """The fleet during one term of leadership.
 
     Attributes:
-        term: the term in which this state was restored.
-        membership: the members and their states.
-        nodes: node name -> last report.
-        drained: nodes that operators drained.
-        reasons: member -> why it is in its state.
+        term: The term in which this state was restored.
+        membership: The members and their states.
+        nodes: The nodes' last reports by node name.
+        drained: Nodes that operators drained.
+        reasons: Why each member is in its state, by its name.
     """
 
     def __init__(self):
@@ -56,13 +56,13 @@
             ],
         )
 
-    def remove_forgotten_nodes(self) -> list[str]:
+    def remove_former_nodes(self) -> list[str]:
         """Removes nodes that are no longer members, and returns their names."""
-        forgotten = [name for name in self.nodes if name not in self.membership.members]
-        for name in forgotten:
+        former = [name for name in self.nodes if name not in self.membership.members]
+        for name in former:
             del self.nodes[name]
             self.reasons.pop(name, None)
-        return forgotten
+        return former
 
     def member_nodes(self) -> dict[str, NodeRecord]:
         """Returns the reports of nodes that are members."""
--- a/rushmux/planner/member_tracker.py
+++ b/rushmux/planner/member_tracker.py
@@ -13,16 +13,16 @@
 MAX_AGE = 1 << 53  # tenths of a millisecond, leaving room for the time added while the entry is listed
 MAX_PORT = 65_535
 MAX_TEXT_LENGTH = 255  # characters of a name, a host, a zone or an incarnation
-DRAINING = "draining"  # condition that a node reports to ask for its drain
+DRAINING = "draining"  # a node that reports this condition requests its own drain
 
 
 class MemberTracker:
     """Keeps the membership up to date, and has changes published.
 
     Args:
-        state: the fleet's state, which this object modifies.
-        publisher: stores changes and sends them to the edges.
-        cells: number of shards of the fleet's data.
+        state: The fleet's state, which this object modifies.
+        publisher: Stores changes and sends them to the edges.
+        cells: Number of shards of the fleet's data.
     """
 
     def __init__(self, state: FleetState, publisher: EndpointPublisher, cells: int):
@@ -37,22 +37,22 @@
         for peer in list(self._publisher.subscribers):
             self._mark_alive(peer.name, MemberKind.EDGE, peer.hello.start, in_flight=0)
         self._publisher.on_member_changes(self._state.membership.tick(self._now()))
-        forgotten = self._state.remove_forgotten_nodes()
-        if self._publisher.unsaved or forgotten:
-            self._publisher.save(forgotten)
+        former = self._state.remove_former_nodes()
+        if self._publisher.unsaved or former:
+            self._publisher.save(former)
 
     def on_edge_connected(self, peer: PeerConnection) -> None:
         """Registers an edge, and subscribes it to the endpoint list.
 
         Raises:
-            WireError: there are too many members.
+            WireError: There are too many members.
         """
         self._member_of[peer] = peer.name
         self._mark_alive(peer.name, MemberKind.EDGE, peer.hello.start, in_flight=0)
         self._publisher.subscribe(peer)
 
     def on_disconnected(self, peer: PeerConnection) -> None:
-        """Gives a member whose last connection ended a short time to come back."""
+        """Gives a member whose last connection ended a short time to reconnect."""
         self._publisher.unsubscribe(peer)
         name = self._member_of.pop(peer, None)
         if name is not None and name not in self._member_of.values():
@@ -62,7 +62,7 @@
         """Handles a node's report.
 
         Raises:
-            WireError: the report is invalid, or there are too many members.
+            WireError: The report is invalid, or there are too many members.
         """
         entry, now = report.entry, self._now()
         self._check_entry(peer, entry)
@@ -90,9 +90,9 @@
                 f"node {entry.node} has an invalid age {entry.age} or address '{entry.host}':{entry.port}"
             )
         if any(len(text) > MAX_TEXT_LENGTH for text in (entry.node, entry.host, entry.zone, entry.start)):
-            raise WireError(f"a name, host, zone or incarnation of more than {MAX_TEXT_LENGTH} characters")
+            raise WireError(f"a name, host, zone or incarnation exceeds {MAX_TEXT_LENGTH} characters")
         if len(self._state.nodes) >= MAX_NODES and entry.node not in self._state.nodes:
-            raise WireError(f"more than {MAX_NODES} nodes")
+            raise WireError(f"the maximum of {MAX_NODES} nodes is reached")
 
     def _mark_alive(self, name: str, kind: MemberKind, incarnation: str, in_flight: int) -> None:
         try:
--- a/rushmux/planner/quota_service.py
+++ b/rushmux/planner/quota_service.py
@@ -1,4 +1,4 @@
-"""Answers edges' requests for quotas, which are parts of the folders' limits."""
+"""Answers edges' requests for quotas, their shares of the folders' limits."""
 
 from collections.abc import Callable, Iterable
 
@@ -14,9 +14,9 @@
     """Grants quotas while this planner leads.
 
     Args:
-        limited_folders: names of the folders that have limits.
-        gateway_count: the maximum number of edges.
-        confirm_leadership: calls a function once a majority has confirmed that this planner leads.
+        limited_folders: Names of the folders that have limits.
+        gateway_count: The maximum number of edges.
+        confirm_leadership: Calls a function once a majority has confirmed that this planner leads.
     """
 
     def __init__(
@@ -42,11 +42,11 @@
     def on_request(self, peer: PeerConnection, request: messages.Ask, clock: Callable[[], float]) -> None:
         """Answers an edge's request once a majority has confirmed that this planner leads.
 
-        A replaced leader would grant quotas that others hold by now.  One request of each edge waits at a
-        time; further ones are dropped, and the edge repeats them.
+        A replaced leader would grant quotas that its successor grants too.  One request of each edge waits
+        at a time; further ones are dropped, as edges send new ones anyway.
 
         Raises:
-            WireError: the request is invalid.
+            WireError: The request is invalid.
         """
         # Checked before it waits: an error while answering would interrupt a step of the replicated log.
         _check(request)
