--- a/rushmux/atomic_write.py
+++ b/rushmux/atomic_write.py
@@ -8,7 +8,7 @@
     """Replaces the file at `path`.
 
     Raises:
-        OSError: The file was not replaced; where only the sync of its folder failed, it was.
+        OSError: The file was not replaced, or was replaced but its folder could not be synced.
     """
     temporary = path.with_name(path.name + ".new")
     try:
--- a/rushmux/buffer/batch_writer.py
+++ b/rushmux/buffer/batch_writer.py
@@ -35,7 +35,7 @@
 REQUESTED_ROLE = "write"
 BACKGROUND_ROLE = "write_out"
 REMOVED = "the file was removed"
-OVERWRITTEN = "others wrote to the file while this edge was down"
+OVERWRITTEN = "other edges wrote to the file while this edge was down"
 
 
 @dataclass
@@ -77,7 +77,7 @@
 
     def __init__(self):
         super().__init__()
-        self.obsolete: list[tuple[int, str]] = []  # objects no longer referenced by rows: (cell, object)
+        self.garbage: list[tuple[int, str]] = []  # objects no longer referenced by rows: (cell, object)
         self.files: dict[BufferedFile, layout.FileRow] = {}
         self.blocks: dict[BufferedFile, dict[int, list[Extent]]] = {}
 
@@ -92,7 +92,7 @@
         self.blocks[file][number] = extents
         key = layout.block_key(self.files[file].data_id, number)
         self._put(key, before.version, layout.pack_block(extents))
-        self.obsolete += layout.unreferenced(before.extents, extents)
+        self.garbage += layout.unreferenced(before.extents, extents)
 
     def _put(self, key: str, version: int, value: bytes) -> None:
         self.checks.append(check_version(key, version))
@@ -147,10 +147,10 @@
 
     async def _store(self, runner: OperationRunner, batch: Batch) -> dict[BufferedFile, list[BlockExtent]]:
         """Stores each run of a batch as one object."""
-        gate = asyncio.Semaphore(MAX_PARALLEL_STORES)
+        semaphore = asyncio.Semaphore(MAX_PARALLEL_STORES)
         role = REQUESTED_ROLE if batch.is_requested else BACKGROUND_ROLE
         runs = self._runs(batch)
-        stored = await gather_or_cancel(*(self._store_run(runner, run, role, gate) for run in runs))
+        stored = await gather_or_cancel(*(self._store_run(runner, run, role, semaphore) for run in runs))
         extents = {part.file: [] for part in batch.parts}
         for run, extent in zip(runs, stored, strict=True):
             extents[run.file].append(BlockExtent(run.block, extent))
@@ -165,10 +165,10 @@
         ]
 
     async def _store_run(
-        self, runner: OperationRunner, run: Run, role: str, gate: asyncio.Semaphore
+        self, runner: OperationRunner, run: Run, role: str, semaphore: asyncio.Semaphore
     ) -> Extent:
         data = b"".join(extent.data for extent in run.extents)
-        async with gate:
+        async with semaphore:
             stored = await runner.write_object(data, role)
         self.counters.objects += 1
         self.counters.object_bytes += len(data)
@@ -204,7 +204,7 @@
         self, runner: OperationRunner, change: BatchChange, done: Sequence[messages.Row]
     ) -> None:
         self.counters.commits += 1
-        if change.obsolete:
+        if change.garbage:
             self.file_system.schedule_collection(runner.folder)
         for file, rows in change.committed_files(done).items():
             file.version = rows.version
@@ -291,8 +291,8 @@
             )
             for number, before in rows.blocks.items():
                 change.put_block(file, number, before, blocks[file, number])
-        if change.obsolete:
-            change.puts.append(self.file_system.garbage_objects_row(change.obsolete))
+        if change.garbage:
+            change.puts.append(self.file_system.garbage_objects_row(change.garbage))
         return change
 
     def _log_intent(self, batch: Batch, files: dict[BufferedFile, FileRows], stamp: str) -> None:
--- a/rushmux/buffer/recovery.py
+++ b/rushmux/buffer/recovery.py
@@ -153,7 +153,7 @@
             logger.error("buffer.log_segment_invalid", segment=name, reason=str(error))
         records += contents.records
         if contents.corrupt_at is not None:
-            # Later records are not flushed: they could become visible out of order.
+            # Later records are ignored: without the lost ones, writes could become visible out of order.
             logger.error("buffer.log_segment_corrupt", segment=name, offset=contents.corrupt_at)
             storage.quarantine(name)
             break
--- a/rushmux/buffer/row_cache.py
+++ b/rushmux/buffer/row_cache.py
@@ -20,7 +20,7 @@
 class BlockExtent(NamedTuple):
     """An extent, and the number of its block."""
 
-    block: int
+    number: int
     extent: Extent
 
 
--- a/rushmux/edge/edge.py
+++ b/rushmux/edge/edge.py
@@ -171,7 +171,7 @@
         """
         if self.policy_client is not None:
             # Otherwise this edge's policy would differ from the fleet's.
-            return self._reject_reload(["the planners decide the fleet's policy: propose the change to them"])
+            return self._reject_reload(["route policies come from the planners; propose the change to them"])
         try:
             deployment = read_deployment()
         except DeploymentError as error:
--- a/rushmux/edge/endpoint_cache.py
+++ b/rushmux/edge/endpoint_cache.py
@@ -104,10 +104,12 @@
         try:
             magic, file_format, checksum, saved_at = HEADER.unpack_from(data)
         except struct.error as error:
-            raise EndpointCacheError(self.path, str(error)) from error
+            raise EndpointCacheError(self.path, f"header cannot be read: {error}") from error
         body = data[HEADER.size :]
         if magic != MAGIC or file_format != FORMAT or len(data) > MAX_FILE_BYTES:
-            raise EndpointCacheError(self.path, f"format is {file_format}; this edge reads format {FORMAT}")
+            raise EndpointCacheError(
+                self.path, f"not an endpoint list of format {FORMAT}, or over {MAX_FILE_BYTES} bytes"
+            )
         if zlib.crc32(SAVED_AT.pack(saved_at) + body) != checksum:
             raise EndpointCacheError(self.path, "checksum mismatch")
         listing = messages.Listing()
--- a/rushmux/edge/errors.py
+++ b/rushmux/edge/errors.py
@@ -8,7 +8,7 @@
 
     @property
     def status_text(self) -> str:
-        """The text that a client's status message quotes."""
+        """A short text, quoted to clients as the reason why buffered writes were discarded."""
         return str(self)
 
 
@@ -25,7 +25,7 @@
 
     @property
     def status_text(self) -> str:
-        """The text in status messages."""
+        """The text for clients."""
         return "shed"
 
 
@@ -37,7 +37,7 @@
 
     @property
     def status_text(self) -> str:
-        """The text in status messages."""
+        """The text for clients."""
         return "Terminated"
 
 
@@ -78,7 +78,7 @@
     """
 
     def __init__(self, object_name: str):
-        super().__init__(f"object {object_name} came back damaged")
+        super().__init__(f"object {object_name} is corrupted")
         self.object_name = object_name
 
 
--- a/rushmux/edge/garbage_collector.py
+++ b/rushmux/edge/garbage_collector.py
@@ -9,14 +9,14 @@
 
 from rushmux.edge.driver import EdgeDriver
 from rushmux.edge.errors import OperationFailedError, OperationShedError
-from rushmux.edge.operation_runner import NO_TAG, OperationRunner, RowChange
+from rushmux.edge.operation_runner import BACKGROUND_TAG, OperationRunner, RowChange
 from rushmux.files import layout
 
 DELAY = 2.0  # seconds; lets readers that use older rows finish
 RETRY_DELAY = 5.0  # seconds until a folder is retried after an operation was shed or failed
 OPERATION_TIMEOUT = 10.0  # seconds
 BATCH_SIZE = 64  # rows read, or objects dropped, in one operation
-MAX_ORPHANS = 4_096  # orphans remembered; further ones are left for a scrubber
+MAX_ORPHANS = 4_096  # orphans remembered; further ones stay on the nodes
 
 
 class GarbageCollector:
@@ -74,7 +74,7 @@
 
     def _runner(self, folder: str) -> OperationRunner:
         deadline = self.driver.loop.time() + OPERATION_TIMEOUT
-        return OperationRunner(self.driver, folder, NO_TAG, deadline)
+        return OperationRunner(self.driver, folder, BACKGROUND_TAG, deadline)
 
     async def _collect(self, folder: str) -> None:
         # Dropping a missing object has no effect.  A copy that a node writes after its drop is never removed.
--- a/rushmux/edge/group_commit.py
+++ b/rushmux/edge/group_commit.py
@@ -18,7 +18,7 @@
 from rushmux.files.layout import Extent
 from rushmux.nodewire import messages
 
-MAX_BATCH = 32  # writes in one commit; 1 MiB in the write size of stock clients
+MAX_BATCH = 32  # writes in one commit; 1 MiB at the write size of stock clients
 
 
 class StoredWrite(NamedTuple):
@@ -81,7 +81,7 @@
         raise ContentionError("the file")
 
     async def _commit_pending(self, runner: OperationRunner) -> None:
-        """Commits a batch within this writer's deadline; on failure it stays pending for others."""
+        """Commits a batch within this writer's deadline; it stays pending if only this writer fails."""
         batch, self.pending = self.pending[:MAX_BATCH], self.pending[MAX_BATCH:]
         self.committing = self.loop.create_future()
         try:
@@ -167,7 +167,7 @@
             if len(extents) > self.file_system.settings.max_extents:
                 try:
                     extents = [await compact_block(runner, extents)]
-                except ObjectMissingError:  # the block's version check would fail
+                except ObjectMissingError:  # the block has changed, so its version check would fail
                     return None
             key = layout.block_key(data_id, number)
             updates.checks.append(check_version(key, block.version))
--- a/rushmux/edge/node_connections.py
+++ b/rushmux/edge/node_connections.py
@@ -17,7 +17,7 @@
 INITIAL_BACKOFF = 0.05  # seconds; a process restart takes a few times as long
 MAX_BACKOFF = 2.0  # seconds; a node that returns is reconnected within this time
 RECONNECT_BACKOFF = Backoff(INITIAL_BACKOFF, MAX_BACKOFF)
-MAX_UNSENT = 64  # attempts waiting for one connect; about six times a gateway's bound of ten
+MAX_UNSENT = 64  # attempts waiting for one connect; about six times the scheduler's MAX_IN_FLIGHT
 MAX_BUFFERED = 4 << 20  # bytes not sent yet; with more, the node counts as overloaded
 READ_SIZE = 1 << 18  # bytes of one read from the socket
 NEVER = float("inf")
@@ -56,7 +56,7 @@
 
 
 def next_backoff(failures: int, rng: random.Random) -> float:
-    """Returns the pause in seconds after consecutive failures: exponential, half of it random."""
+    """Returns the pause in seconds after consecutive failures: exponential, shortened by up to half."""
     return RECONNECT_BACKOFF.jittered_pause(failures, rng)
 
 
--- a/rushmux/edge/operation_runner.py
+++ b/rushmux/edge/operation_runner.py
@@ -24,7 +24,7 @@
 CONTENTION_BACKOFF = Backoff(CONFLICT_BACKOFF, MAX_CONFLICT_BACKOFF)
 MIN_TIME_LEFT = 0.02  # seconds; with less left, an operation is shed instead of started
 ANY_CELL = -1  # for operations that write a new object
-NO_TAG = "-"  # for background work, which belongs to no client request
+BACKGROUND_TAG = "-"  # tag of operations that belong to no client request
 
 FillExecute = Callable[[messages.Execute], None]
 Result = TypeVar("Result")
--- a/rushmux/edge/policy_store.py
+++ b/rushmux/edge/policy_store.py
@@ -39,7 +39,7 @@
 
     def __init__(self, path: Path, file_format: object):
         super().__init__(
-            path, f"format {file_format}, this edge reads {FORMAT}: start the program that wrote it"
+            path, f"format {file_format}, this edge reads {FORMAT}: run the program version that wrote it"
         )
         self.format = file_format
 
--- a/rushmux/edge/quota_client.py
+++ b/rushmux/edge/quota_client.py
@@ -1,4 +1,4 @@
-"""The edge's client of quotas, its shares of folders' limits: requests them and applies grants."""
+"""Requests the edge's quotas, its shares of folders' limits, from the planner and applies them."""
 
 import asyncio
 
--- a/rushmux/edge/session.py
+++ b/rushmux/edge/session.py
@@ -208,7 +208,7 @@
                 return await handler(request.packet, runner_for)
 
     async def _wait_for_recovery(self, access: Access, deadline: float) -> None:
-        """Waits until writes that an earlier start buffered in these folders are on nodes."""
+        """Waits until these folders' writes recovered from an earlier start are flushed or discarded."""
         buffer = self.edge.buffer
         if buffer is not None and buffer.recovering:
             for path in access.paths:
--- a/rushmux/sftp/packets.py
+++ b/rushmux/sftp/packets.py
@@ -16,7 +16,7 @@
 from rushmux.sftp.fields import ProtocolError as ProtocolError
 
 VERSION = 3
-MAX_PACKET_BYTES = 262_144 + 1_024  # the most data that stock clients send in a packet, and other fields
+MAX_PACKET_BYTES = 262_144 + 1_024  # the most data that stock clients send, and room for other fields
 
 # Status codes.
 OK, EOF, NO_SUCH_FILE, PERMISSION_DENIED, FAILURE, BAD_MESSAGE = 0, 1, 2, 3, 4, 5
