--- a/tests/buffer/conftest.py
+++ b/tests/buffer/conftest.py
@@ -20,13 +20,13 @@
 
 
 @pytest.fixture
-def play(raw):
-    """Runs a story on a fleet of the deployment; returns the fleet and the story's result."""
+def run_fleet(raw):
+    """Runs `steps(fleet)` on a simulated fleet; returns the fleet and the result of the steps."""
 
-    def played(story, seed=3, **settings):
-        return fleet.run_fleet(deployment.build(raw), seed, story, **{"nodes": 4, "unit": 0.004, **settings})
+    def run(steps, seed=3, **settings):
+        return fleet.run_fleet(deployment.build(raw), seed, steps, **{"nodes": 4, "unit": 0.004, **settings})
 
-    return played
+    return run
 
 
 class FileOperations:
--- a/tests/buffer/test_discarded_writes.py
+++ b/tests/buffer/test_discarded_writes.py
@@ -78,8 +78,8 @@
     return answer
 
 
-def test_files_above_a_discarded_layer_are_logged_and_stay_discarded(play, short_retention, files):
-    async def story(fleet):
+def test_files_above_a_discarded_layer_are_logged_and_stay_discarded(run_fleet, short_retention, files):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         below, above = [await files.open(one, f"/heredia/{name}") for name in ("below", "above")]
         await one.ask(sftp.Write, below, 0, b"below")
@@ -92,15 +92,15 @@
         await restart_edge_after_fault(fleet)
         return answers, [await two.get(f"/heredia/{name}") for name in ("below", "above")]
 
-    _, (answers, contents) = play(story)
+    _, (answers, contents) = run_fleet(steps)
     assert answers == [True, False, True] and contents == [b"", b""]
 
 
-def test_a_lower_layer_that_was_not_discarded_survives_a_crash(play, short_retention, files):
+def test_a_lower_layer_that_was_not_discarded_survives_a_crash(run_fleet, short_retention, files):
     # With one file per batch, the second file is in no batch when the first is discarded.
     short_retention.update(batch_files=1, keep_ms=3_000)
 
-    async def story(fleet):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         first, second = [await files.open(one, f"/heredia/{name}") for name in ("first", "second")]
         await one.ask(sftp.Write, first, 0, b"first")
@@ -117,11 +117,11 @@
         await fleet.sleep(RECOVERY_TIME)
         return [await two.get(f"/heredia/{name}") for name in ("first", "second")]
 
-    assert play(story)[1] == [b"", b"kept "]
+    assert run_fleet(steps)[1] == [b"", b"kept "]
 
 
-def test_a_file_written_again_after_its_writes_were_discarded_is_recovered(play, short_retention, files):
-    async def story(fleet):
+def test_a_file_written_again_after_its_writes_were_discarded_is_recovered(run_fleet, short_retention, files):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"discarded")
@@ -135,17 +135,17 @@
         await fleet.sleep(RECOVERY_TIME)
         return was_told_of_loss, await two.get("/heredia/a")
 
-    assert play(story)[1] == (True, b"\0" * 9 + b"-again")
+    assert run_fleet(steps)[1] == (True, b"\0" * 9 + b"-again")
 
 
-def test_writes_after_the_edges_own_flush_are_recovered(play, files):
+def test_writes_after_the_edges_own_flush_are_recovered(run_fleet, files):
     """Guards against an edge taking its own flush for another edge's write and dropping later writes.
 
     That happens if the log's base record has the version that the handle saw when it was opened, instead of
     the version made by the edge's last batch.
     """
 
-    async def story(fleet):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"first")
@@ -156,13 +156,13 @@
         await fleet.sleep(RECOVERY_TIME)
         return await two.get("/heredia/a")
 
-    fleet, data = play(story)
+    fleet, data = run_fleet(steps)
     assert data == b"first-second"
     assert not any(row["event"] == "buffer.recovered_writes_overwritten" for row in fleet.logs)
 
 
-def test_a_client_that_was_not_told_before_a_crash_is_told_after_it(play, short_retention, files):
-    async def story(fleet):
+def test_a_client_that_was_not_told_before_a_crash_is_told_after_it(run_fleet, short_retention, files):
+    async def steps(fleet):
         one = await fleet.client(0)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"discarded")
@@ -178,11 +178,11 @@
             await files.fsync(client, handle)
         return answers
 
-    assert play(story)[1] == [True, False, False, False]
+    assert run_fleet(steps)[1] == [True, False, False, False]
 
 
-def test_a_client_that_was_told_is_not_told_again_after_a_later_crash(play, short_retention, files):
-    async def story(fleet):
+def test_a_client_that_was_told_is_not_told_again_after_a_later_crash(run_fleet, short_retention, files):
+    async def steps(fleet):
         one = await fleet.client(0)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"discarded")
@@ -194,13 +194,13 @@
         client = await fleet.client(0)
         return was_told_of_loss, await is_told_of_loss(client, files, await files.open(client, "/heredia/a"))
 
-    assert play(story)[1] == (True, False)
+    assert run_fleet(steps)[1] == (True, False)
 
 
-def test_writes_above_a_file_that_others_overwrote_stay_discarded(play, files):
+def test_writes_above_a_file_that_others_overwrote_stay_discarded(run_fleet, files):
     """Recovery finds a file overwritten and discards the writes after the next barrier; then it crashes."""
 
-    async def story(fleet):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         below, above = [await files.open(one, f"/heredia/{name}") for name in ("below", "above")]
         await one.ask(sftp.Write, below, 0, b"below")
@@ -222,18 +222,18 @@
         await fleet.sleep(RECOVERY_TIME)
         return answers, await two.get("/heredia/above")
 
-    assert play(story)[1] == ([True, True], b"")
+    assert run_fleet(steps)[1] == ([True, True], b"")
 
 
-def test_writes_of_a_removed_file_are_logged_as_discarded(play, files):
-    async def story(fleet):
+def test_writes_of_a_removed_file_are_logged_as_discarded(run_fleet, files):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"data")
         await two.ask(sftp.Remove, "/heredia/a")
         return await is_told_of_loss(one, files, handle)
 
-    fleet, was_told_of_loss = play(story)
+    fleet, was_told_of_loss = run_fleet(steps)
     assert was_told_of_loss
     assert [row["reason"] for row in fleet.logs if row["event"] == "buffer.writes_discarded"] == [
         "/heredia/a: the file was removed"
@@ -243,11 +243,11 @@
 @pytest.mark.parametrize("partial_append", [False, True])
 @pytest.mark.parametrize("crash", [False, True])
 def test_writes_are_not_discarded_while_the_disk_cannot_record_it(
-    play, short_retention, files, crash, partial_append
+    run_fleet, short_retention, files, crash, partial_append
 ):
     """Without the record a crash could undo a loss that a client was told of: the writes are retried."""
 
-    async def story(fleet):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"kept")
@@ -263,7 +263,7 @@
             await fleet.sleep(FAULT_TIME + RECOVERY_TIME)
         return was_told_of_loss, await two.get("/heredia/a")
 
-    assert play(story)[1] == (False, b"kept")
+    assert run_fleet(steps)[1] == (False, b"kept")
 
 
 class CrashingDisk(SimulatedSegments):
@@ -286,11 +286,11 @@
 @pytest.mark.parametrize("written_share", [0, 0.4, 0.8, 1])
 @pytest.mark.parametrize("crash_at", range(1, 7))
 def test_a_crash_at_any_record_undoes_nothing_that_a_client_was_told(
-    play, short_retention, files, crash_at, written_share
+    run_fleet, short_retention, files, crash_at, written_share
 ):
     names = ("below", "other", "above")
 
-    async def story(fleet):
+    async def steps(fleet):
         fleet.kill_edge(0)
         fleet.log_disks[0] = CrashingDisk(crash_at, written_share, lambda: fleet.kill_edge(0))
         await fleet.start_edge(0)
@@ -325,6 +325,6 @@
                 lost.add(name)
         return acknowledged, lost, {name: await two.get(f"/heredia/{name}") for name in names}
 
-    _, (acknowledged, lost, contents) = play(story)
+    _, (acknowledged, lost, contents) = run_fleet(steps)
     assert all(contents[name] == b"" for name in lost)
     assert all(contents[name] == name.encode() for name in acknowledged - lost)
--- a/tests/buffer/test_node_faults.py
+++ b/tests/buffer/test_node_faults.py
@@ -15,8 +15,8 @@
 
 
 @pytest.mark.parametrize("kind", ["silent", "stuck", "disk", "errors"])
-def test_a_flush_during_a_node_fault_is_answered_correctly(play, kind, files):
-    async def story(fleet):
+def test_a_flush_during_a_node_fault_is_answered_correctly(run_fleet, kind, files):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"careful" * 30_000)
@@ -35,12 +35,12 @@
             await fleet.sleep(12)  # the flush goes on, and succeeds after the fault
         return answer, elapsed, await two.get("/heredia/a")
 
-    _, (answer, elapsed, data) = play(story)
+    _, (answer, elapsed, data) = run_fleet(steps)
     assert data == b"careful" * 30_000 and elapsed < 7 and answer in ("ok", "terminated")
 
 
-def test_a_node_is_drained_and_replaced_during_a_flush(play, files):
-    async def story(fleet):
+def test_a_node_is_drained_and_replaced_during_a_flush(run_fleet, files):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         other = f"node{(HOME + 1) % 4}"
@@ -62,11 +62,11 @@
             return "not on its node" in error.status.message
 
     # The data of the replaced node is lost: reading it fails, and never returns wrong bytes.
-    assert all(play(story)[1])
+    assert all(run_fleet(steps)[1])
 
 
-def test_a_barrier_waits_for_a_silent_node_and_no_write_passes_it(play, files):
-    async def story(fleet):
+def test_a_barrier_waits_for_a_silent_node_and_no_write_passes_it(run_fleet, files):
+    async def steps(fleet):
         one, far = await fleet.client(0), await fleet.client(1)
         first, second = [await files.open(one, f"/heredia/{name}") for name in "ab"]
         await one.ask(sftp.Write, first, 0, b"before" * 40_000)
@@ -82,11 +82,11 @@
         await files.fsync(one, second)
         return await far.get("/heredia/a"), await far.get("/heredia/b")
 
-    assert play(story)[1] == (b"before" * 40_000, b"after")
+    assert run_fleet(steps)[1] == (b"before" * 40_000, b"after")
 
 
-def test_a_flush_on_a_paused_edge_is_answered_after_the_pause(play, files):
-    async def story(fleet):
+def test_a_flush_on_a_paused_edge_is_answered_after_the_pause(run_fleet, files):
+    async def steps(fleet):
         one, far = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"paused" * 10_000)
@@ -97,14 +97,14 @@
         await flushing
         return fleet.loop.time() - started_at, await far.get("/heredia/a")
 
-    _, (elapsed, data) = play(story)
+    _, (elapsed, data) = run_fleet(steps)
     assert 2.9 < elapsed < 7 and data == b"paused" * 10_000
 
 
-def test_a_day_of_faults_breaks_no_rule(play, raw):
-    async def story(fleet):
+def test_a_day_of_faults_breaks_no_rule(run_fleet, raw):
+    async def steps(fleet):
         await scenario.run_day(fleet, script.load("bad"), scenario.Load(nominal_share=0.4), 5)
 
-    fleet, _ = play(story, nodes=6, edges=3, unit=0.02)
+    fleet, _ = run_fleet(steps, nodes=6, edges=3, unit=0.02)
     for verdict in Checker(fleet.all_records(), deployment.build(raw), 0.005).verdicts():
         assert not verdict.breaches, verdict
--- a/tests/buffer/test_write_histories.py
+++ b/tests/buffer/test_write_histories.py
@@ -15,13 +15,13 @@
 DEFAULT_SEEDS = range(24)
 
 
-def find_breaches(play, raw, seed):
+def find_breaches(run_fleet, raw, seed):
     raw["buffer"] = dict(write_history.BUFFER)
 
-    async def story(fleet):
+    async def steps(fleet):
         return await write_history.Round(fleet, random.Random(seed)).run()
 
-    return play(story, seed=seed)[1]
+    return run_fleet(steps, seed=seed)[1]
 
 
 def pytest_generate_tests(metafunc):
@@ -31,8 +31,8 @@
         metafunc.parametrize("drawn_seed", seeds)
 
 
-def test_acknowledged_writes_are_stored_or_reported_as_lost(play, raw, drawn_seed):
-    breaches = find_breaches(play, raw, drawn_seed)
+def test_acknowledged_writes_are_stored_or_reported_as_lost(run_fleet, raw, drawn_seed):
+    breaches = find_breaches(run_fleet, raw, drawn_seed)
     again = f"python -m pytest tests/buffer/test_write_histories.py --seeds {drawn_seed}:{drawn_seed + 1}"
     assert breaches == [], again
 
@@ -47,13 +47,13 @@
     ],
     ids=["unrecorded", "ignored discards", "all taken for notified", "always overwritten"],
 )
-def test_a_buffer_with_a_defect_is_detected(play, raw, monkeypatch, owner, replacements):
+def test_a_buffer_with_a_defect_is_detected(run_fleet, raw, monkeypatch, owner, replacements):
     for method, replacement in replacements.items():
         monkeypatch.setattr(owner, method, replacement)
 
     def is_detected(seed):
         try:
-            return bool(find_breaches(play, raw, seed))
+            return bool(find_breaches(run_fleet, raw, seed))
         except AssertionError:
             return True
 
--- a/tests/buffer/test_writeback.py
+++ b/tests/buffer/test_writeback.py
@@ -13,8 +13,8 @@
 HOME = home_cell("heredia", 4)
 
 
-def test_a_write_is_answered_at_once_and_read_back_before_any_node_has_it(play, files, buffered_bytes):
-    async def story(fleet):
+def test_a_write_is_answered_at_once_and_read_back_before_any_node_has_it(run_fleet, files, buffered_bytes):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(0)
         handle = await files.open(one, "/heredia/a")
         started_at = fleet.loop.time()
@@ -25,11 +25,11 @@
         assert (await two.ask(sftp.Stat, "/heredia/a")).attributes.size == 14
         return elapsed
 
-    assert play(story)[1] < 0.002
+    assert run_fleet(steps)[1] < 0.002
 
 
-def test_close_fsync_and_barrier_make_writes_readable_through_another_edge(play, files, buffered_bytes):
-    async def story(fleet):
+def test_close_fsync_and_barrier_make_writes_readable_through_another_edge(run_fleet, files, buffered_bytes):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         flushes = {
             "a": lambda handle: one.ask(sftp.Close, handle),
@@ -42,22 +42,22 @@
             await flush(handle)
             assert buffered_bytes(fleet) == 0 and await two.get(f"/heredia/{name}") == b"flushed"
 
-    play(story)
+    run_fleet(steps)
 
 
-def test_writes_that_nobody_flushes_reach_the_nodes(play, files, buffered_bytes):
-    async def story(fleet):
+def test_writes_that_nobody_flushes_reach_the_nodes(run_fleet, files, buffered_bytes):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"alone")
         await fleet.sleep(3)
         return buffered_bytes(fleet), await two.get("/heredia/a")
 
-    assert play(story)[1] == (0, b"alone")
+    assert run_fleet(steps)[1] == (0, b"alone")
 
 
-def test_a_stream_of_small_writes_becomes_few_operations(play, files):
-    async def story(fleet):
+def test_a_stream_of_small_writes_becomes_few_operations(run_fleet, files):
+    async def steps(fleet):
         one = await fleet.client(0)
         handle = await files.open(one, "/heredia/a")
         for at in range(0, 1 << 20, 4_096):
@@ -65,14 +65,14 @@
         await one.ask(sftp.Close, handle)
         return await one.get("/heredia/a")
 
-    fleet, data = play(story)
+    fleet, data = run_fleet(steps)
     assert data == b"".join(bytes([number & 255]) * 4_096 for number in range(256))
     writes = [row for row in fleet.records if row["kind"] == "execution" and row["what"] == "write"]
     assert len(writes) < 30  # of 256
 
 
-def test_an_answered_flush_survives_a_crash_right_after_it(play, files):
-    async def story(fleet):
+def test_an_answered_flush_survives_a_crash_right_after_it(run_fleet, files):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"flushed" * 9_000)
@@ -80,11 +80,11 @@
         fleet.kill_edge(0)
         return await two.get("/heredia/a")
 
-    assert play(story, buffer_logs=False)[1] == b"flushed" * 9_000
+    assert run_fleet(steps, buffer_logs=False)[1] == b"flushed" * 9_000
 
 
-def test_another_session_truncates_renames_and_removes_a_dirty_file(play, files):
-    async def story(fleet):
+def test_another_session_truncates_renames_and_removes_a_dirty_file(run_fleet, files):
+    async def steps(fleet):
         one, two, far = await fleet.client(0), await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"0123456789")
@@ -106,13 +106,13 @@
         await two.ask(sftp.Close, again)
         return await far.get("/heredia/c")
 
-    assert play(story)[1] == b""
+    assert run_fleet(steps)[1] == b""
 
 
-def test_writers_wait_while_the_buffer_is_full_and_it_keeps_its_limits(play, raw, buffered_bytes):
+def test_writers_wait_while_the_buffer_is_full_and_it_keeps_its_limits(run_fleet, raw, buffered_bytes):
     raw["buffer"] = {"edge_bytes": 2 << 20, "folder_bytes": 1 << 20, "log_bytes": 16 << 20}
 
-    async def story(fleet):
+    async def steps(fleet):
         max_buffered = max_log = 0
         stored, rejected = [], []
 
@@ -134,15 +134,15 @@
             assert await far.get(f"/heredia/{name}") == bytes([name]) * 300_000
         return max_buffered, max_log, stored, rejected
 
-    _, (max_buffered, max_log, stored, rejected) = play(story, unit=0.002)
+    _, (max_buffered, max_log, stored, rejected) = run_fleet(steps, unit=0.002)
     assert 0 < max_buffered <= 1 << 20 and max_log <= 17 << 20
     assert len(stored) >= 10 and len(stored) + len(rejected) == 40
 
 
-def test_a_block_of_many_small_flushes_keeps_few_extents(play, raw, files):
+def test_a_block_of_many_small_flushes_keeps_few_extents(run_fleet, raw, files):
     raw["files"] = {"extents": 8}
 
-    async def story(fleet):
+    async def steps(fleet):
         one, far = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         for at in range(60):  # with gaps, so that no two are adjacent
@@ -156,13 +156,13 @@
         await fleet.sleep(5)  # until the garbage collector has dropped unreferenced objects
         return max(len(layout.unpack_block(value)) for (value,) in rows), await far.get("/heredia/a")
 
-    fleet, (extents, data) = play(story)
+    fleet, (extents, data) = run_fleet(steps)
     assert extents <= 8 and data == b"".join(bytes([at]) * 100 + bytes(100) for at in range(60))[:-100]
     assert any(row["kind"] == "execution" and row["what"] == "drop" for row in fleet.records)
 
 
-def test_two_edges_write_one_file_without_losing_bytes(play, files):
-    async def story(fleet):
+def test_two_edges_write_one_file_without_losing_bytes(run_fleet, files):
+    async def steps(fleet):
         one, two = await fleet.client(0), await fleet.client(1)
         handles = [await files.open(client, "/heredia/a") for client in (one, two)]
         for at in range(10):  # each writes its half of every range, then both write one place
@@ -174,12 +174,12 @@
         await files.fsync(two, handles[1])
         return await one.get("/heredia/a")
 
-    data = play(story)[1]
+    data = run_fleet(steps)[1]
     assert data[:10_000] == (b"1" * 500 + b"2" * 500) * 10 and data[20_000:] == b"two"
 
 
-def test_a_graceful_shutdown_flushes_everything(play, files):
-    async def story(fleet):
+def test_a_graceful_shutdown_flushes_everything(run_fleet, files):
+    async def steps(fleet):
         one, far = await fleet.client(0), await fleet.client(1)
         handle = await files.open(one, "/heredia/a")
         await one.ask(sftp.Write, handle, 0, b"in time")
@@ -187,4 +187,4 @@
         await part.process.spawn(part.program.close())
         return await far.get("/heredia/a")
 
-    assert play(story, buffer_logs=False)[1] == b"in time"
+    assert run_fleet(steps, buffer_logs=False)[1] == b"in time"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -12,8 +12,8 @@
 GOOD = "tests/test_it.py::test_red, the dial is late, issue 36"
 
 
-def ran(folder, text, *options):
-    """The script on a tree of its own: exit code, options, what it tells."""
+def run_script(folder, text, *options):
+    """Runs the script on a tree of its own; returns its exit code, output and error output."""
     (folder / ".ci").mkdir()
     (folder / "tests").mkdir()
     (folder / ".ci" / "known_red.py").write_text(SCRIPT.read_text())
@@ -46,10 +46,10 @@
         ),
     ],
 )
-def test_what_is_listed_is_left_out_and_printed(tmp_path, text, options):
-    code, given, told = ran(tmp_path, text)
-    assert code == 0 and given == options
-    assert all(line.split(", ")[0] in told for line in text.split("\n") if line)
+def test_listed_tests_are_deselected_and_printed(tmp_path, text, options):
+    code, stdout, stderr = run_script(tmp_path, text)
+    assert code == 0 and stdout == options
+    assert all(line.split(", ")[0] in stderr for line in text.split("\n") if line)
 
 
 @pytest.mark.parametrize(
@@ -71,16 +71,16 @@
     ],
 )
 def test_a_list_that_is_too_long_malformed_or_names_no_test_fails(tmp_path, text):
-    code, given, told = ran(tmp_path, text)
-    assert code == 1 and not given and "KNOWN-RED.txt" in told and "Traceback" not in told
+    code, stdout, stderr = run_script(tmp_path, text)
+    assert code == 1 and not stdout and "KNOWN-RED.txt" in stderr and "Traceback" not in stderr
 
 
-def test_what_a_listed_test_does_by_now_is_told(tmp_path):
+def test_the_current_result_of_each_listed_test_is_printed(tmp_path):
     text = f"{GOOD}\ntests/test_it.py::test_many, all fail, issue 7"
-    code, given, told = ran(tmp_path, text, "--passing")
-    assert code == 0 and not given
-    assert "still fails: tests/test_it.py::test_red" in told
-    assert "passes now, take it off the list: tests/test_it.py::test_many" in told
+    code, stdout, stderr = run_script(tmp_path, text, "--passing")
+    assert code == 0 and not stdout
+    assert "still fails: tests/test_it.py::test_red" in stderr
+    assert "passes now, take it off the list: tests/test_it.py::test_many" in stderr
 
 
 def test_the_projects_own_list_can_be_read():
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -25,9 +25,9 @@
 SFTP = json.loads((WIRE / "sftp.json").read_text())
 RESP2 = json.loads((WIRE / "resp2.json").read_text())
 
-FORCE = policy.Policy(2, '{"a":2}', (("caribe", 20.0, 40.0), ("heredia", 0, 0)))
+ACTIVE = policy.Policy(2, '{"a":2}', (("caribe", 20.0, 40.0), ("heredia", 0, 0)))
 STAGED = policy.Policy(3, '{"a":3}', (("caribe", 30.0, 60.0), ("heredia", 10.0, 20.0)))
-GRANT = policy.LeaseGrant("edge0", 5, 7, 44, FORCE, STAGED)
+GRANT = policy.LeaseGrant("edge0", 5, 7, 44, ACTIVE, STAGED)
 RAFT = {
     "ask": raft.RequestVote("a/1", "b/2", 7, 40, 6, True),
     "vote": raft.RequestVoteResponse("b/2", "a/1", 7, False, True),
@@ -48,7 +48,7 @@
     "install": raft.InstallSnapshot("a/1", "b/2", 7, raft.Snapshot(30, 5, ("a/1", "b/2"), b"state"), 13),
     "appended": raft.AppendEntriesResponse("b/2", "a/1", 7, False, 38, 12),
 }
-MILLISECONDS = 250  # the timeout in the recorded commands to nodes
+TIMEOUT_MS = 250  # the timeout in the recorded commands to nodes
 
 
 def decoded(data):
@@ -80,8 +80,8 @@
 
 
 def test_a_lease_request_has_the_recorded_encoding():
-    holder = policy.PolicyMember("edge0", FORCE, STAGED, lambda proposed: None, lambda force, staged: None)
-    ask = encode_lease_request(holder.lease_request(3.0))
+    member = policy.PolicyMember("edge0", ACTIVE, STAGED, lambda proposed: None, lambda active, staged: None)
+    ask = encode_lease_request(member.lease_request(3.0))
     assert frame(messages.Message(policy_ask=ask)) == NODEWIRE["policy-ask"]
 
 
@@ -113,7 +113,7 @@
     try:
         answer = {
             "node": encode_command(
-                commands.parse_command(reader.next_command(), config).build_arguments(MILLISECONDS)
+                commands.parse_command(reader.next_command(), config).build_arguments(TIMEOUT_MS)
             ).hex()
         }
     except InvalidCommandError as fault:
