--- a/tests/edge/test_hard_cases.py
+++ b/tests/edge/test_hard_cases.py
@@ -276,7 +276,7 @@
         held = len(driver.operations)
         await one.close()
         await fleet.sleep(0.1)
-        ended = sum(taken.ended for taken in driver.operations.values())
+        ended = sum(operation.ended for operation in driver.operations.values())
         await fleet.sleep(4)
         assert request.done()
         return held, ended, len(driver.operations)
--- a/tests/edge/test_hostile.py
+++ b/tests/edge/test_hostile.py
@@ -146,15 +146,15 @@
         handle = next(iter(session.handles.by_id))
         for number in range(2, 400):
             writer.write(sftp.encode(sftp.Read(number, handle, 0, 262_144)))
-        most = 0
+        max_buffered = 0
         for _ in range(80):
             await fleet.sleep(0.1)
-            most = max(most, session.writer.transport.get_write_buffer_size())
+            max_buffered = max(max_buffered, session.writer.transport.get_write_buffer_size())
         assert await one.get("/limon/big") == bytes(262_144)
-        return most, session in fleet.edges[0].program.sessions
+        return max_buffered, session in fleet.edges[0].program.sessions
 
-    fleet, (most, is_open) = run_fleet(steps)
-    assert not is_open and 1 << 20 < most < 64 * 262_144 + (2 << 20)
+    fleet, (max_buffered, is_open) = run_fleet(steps)
+    assert not is_open and 1 << 20 < max_buffered < 64 * 262_144 + (2 << 20)
     assert any(row["event"] == "session.client_not_reading" for row in fleet.logs)
 
 
--- a/tests/edge/test_loads.py
+++ b/tests/edge/test_loads.py
@@ -120,7 +120,7 @@
 
 def test_a_day_with_load_reports_and_an_ordered_request_class_keeps_every_rule(tmp_path):
     path = tmp_path / "new.json"
-    words = [
+    arguments = [
         "move",
         str(Path(deployment.__file__).with_name("example.json")),
         "--to",
@@ -130,7 +130,7 @@
         "--in-order",
         "archivo-nuevo",
     ]
-    assert CliRunner().invoke(main, words).exit_code == 0
+    assert CliRunner().invoke(main, arguments).exit_code == 0
     result = CliRunner().invoke(main, ["demo", "--virtual", "--deployment", str(path)])
     assert result.exit_code == 0, result.output
     assert result.output.count("kept\n") == 8
--- a/tests/edge/test_policy_client.py
+++ b/tests/edge/test_policy_client.py
@@ -120,12 +120,14 @@
     file = tmp_path / "deployment.json"
     file.write_text(json.dumps(raw))
 
-    async def play():
+    async def run_commands():
         fleet = scenario_fleet.ScenarioFleet(scenario, file, build(raw), tmp_path, 3)
 
         async def run_command(*args):
-            place = ",".join(f"{host}:{port}" for host, port in fleet.planner_addresses)
-            return await asyncio.to_thread(CliRunner().invoke, main, ["policy", *args, "--planner", place])
+            addresses = ",".join(f"{host}:{port}" for host, port in fleet.planner_addresses)
+            return await asyncio.to_thread(
+                CliRunner().invoke, main, ["policy", *args, "--planner", addresses]
+            )
 
         try:
             await fleet.start(1, 2)
@@ -159,7 +161,7 @@
         finally:
             await fleet.stop()
 
-    results = asyncio.run(play())
+    results = asyncio.run(run_commands())
     diff, proposed, rejected, outdated, reverted, withdraw, forget, show, text, history, watch, past = results
     assert '+   "limit": 44' in diff.output
     assert proposed.exit_code == 0 and "2 is decided: 2 of 2 were there" in proposed.output
