--- a/rushmux/buffer/batch_writer.py
+++ b/rushmux/buffer/batch_writer.py
@@ -35,7 +35,7 @@
 REQUESTED_ROLE = "write"
 BACKGROUND_ROLE = "write_out"
 REMOVED = "the file was removed"
-OVERWRITTEN = "other edges wrote to the file while this edge was down"
+OVERWRITTEN = "others wrote to the file while this edge was down"
 
 
 @dataclass
--- a/rushmux/buffer/writeback.py
+++ b/rushmux/buffer/writeback.py
@@ -40,8 +40,8 @@
 DEFAULT_LOG_BYTES = 256 << 20
 BACKGROUND_TAG = "-"  # tag of operations that belong to no client request
 OPERATION_ERRORS = (OperationShedError, OperationFailedError, RequestRejectedError, ObjectMissingError)
-INTERNAL_ERROR = "internal error of the gateway; it was logged"
-LOWER_LAYER_OVERWRITTEN = "earlier writes were discarded: other edges wrote while this edge was down"
+INTERNAL_ERROR = "a fault of the gateway; it was logged"
+LOWER_LAYER_OVERWRITTEN = "others wrote while this edge was down"
 
 
 def limits_of(settings: dict) -> BufferLimits:
@@ -332,7 +332,7 @@
         else:
             reason = INTERNAL_ERROR
             self.logger.exception("buffer.internal_error", folder=batch.folder.name)
-        self.policy.on_batch_failed(batch, self.loop.time(), f"could not be flushed ({reason})")
+        self.policy.on_batch_failed(batch, self.loop.time(), f"could not be written out ({reason})")
         self.logger.info(
             "buffer.batch_failed",
             folder=batch.folder.name,
--- a/rushmux/edge/directories.py
+++ b/rushmux/edge/directories.py
@@ -105,7 +105,7 @@
             entry, file_row = rows[2 * depth], rows[2 * depth + 1]
             if layout.unpack_file(file_row.value).kind is not FileKind.DIRECTORY:
                 path = "/".join(names[: depth + 1])
-                raise RequestRejectedError(sftp.NO_SUCH_FILE, f"{path} is not a directory")
+                raise RequestRejectedError(sftp.NO_SUCH_FILE, f"{path} is no directory")
             parent_id = layout.unpack_entry(entry.value).file_id
             checks.append(check_version(entry.key, entry.version))
         if 2 * len(names) > len(rows):
@@ -224,7 +224,7 @@
     async def _try_remove_directory(self, runner: OperationRunner, names: Names) -> bool | None:
         found = await self.resolve_existing(runner, names)
         if not found.is_directory:
-            raise _rejected(names, "is not a directory")
+            raise _rejected(names, "is no directory")
         keys = layout.entry_keys(found.file_id)
         outcome = await runner.read_rows(found.file_id, after=keys.after, below=keys.below, most=1)
         if outcome.rows:
@@ -253,7 +253,7 @@
         if source.file_id == destination.file_id:
             return True
         if source.is_directory and target[: len(names)] == names:
-            raise RequestRejectedError(sftp.FAILURE, "a directory cannot be moved into itself")
+            raise RequestRejectedError(sftp.FAILURE, "a directory cannot go below itself")
         change = self._move(source, destination)
         if destination.file is not None:
             if not replace:
@@ -284,7 +284,7 @@
     def _add_replacement(self, change: RowChange, source: ResolvedName, destination: ResolvedName) -> None:
         """Adds the removal of the destination to a change."""
         if destination.is_directory != source.is_directory:
-            raise RequestRejectedError(sftp.FAILURE, "a directory and a file cannot replace each other")
+            raise RequestRejectedError(sftp.FAILURE, "a directory and a file do not replace each other")
         change.drops.append(layout.file_key(destination.file_id))
         if destination.is_directory:
             change.checks.append(check_empty(layout.entry_keys(destination.file_id)))
--- a/rushmux/edge/errors.py
+++ b/rushmux/edge/errors.py
@@ -78,7 +78,7 @@
     """
 
     def __init__(self, object_name: str):
-        super().__init__(f"object {object_name} is corrupted")
+        super().__init__(f"object {object_name} came back damaged")
         self.object_name = object_name
 
 
@@ -90,5 +90,5 @@
     """
 
     def __init__(self, target: str):
-        super().__init__(sftp.FAILURE, f"{target}: conflicts with concurrent changes; try again")
+        super().__init__(sftp.FAILURE, f"{target}: others change it at the same time; try again")
         self.target = target
--- a/rushmux/edge/file_attributes.py
+++ b/rushmux/edge/file_attributes.py
@@ -87,10 +87,10 @@
     @staticmethod
     def _check_size(file: FileRow, size: int) -> None:
         if file.kind is FileKind.DIRECTORY:
-            raise RequestRejectedError(sftp.FAILURE, "the size of a directory cannot be set")
+            raise RequestRejectedError(sftp.FAILURE, "a directory has no size")
         largest = layout.max_file_size(file.block_size)
         if size > largest:
-            raise RequestRejectedError(sftp.FAILURE, f"size {size} exceeds the maximum of {largest}")
+            raise RequestRejectedError(sftp.FAILURE, f"a size of {size} is over {largest}")
 
     async def _resize(
         self, runner: OperationRunner, file_id: str, current: VersionedFile, size: int
--- a/rushmux/edge/file_requests.py
+++ b/rushmux/edge/file_requests.py
@@ -25,7 +25,7 @@
         self.handles.check_capacity()
         location = self.context.locate_inside(packet.path)
         if not packet.flags & (sftp.READ | sftp.WRITE):
-            raise RequestRejectedError(sftp.BAD_MESSAGE, "the flags request neither reading nor writing")
+            raise RequestRejectedError(sftp.BAD_MESSAGE, "a file is opened to read or to write")
         runner = runner_for(location.folder)
         if packet.flags & sftp.TRUNCATE:
             await self._flush_before_truncation(runner, location.names)
@@ -57,7 +57,7 @@
         """Reads a range of an open file."""
         file = self.handles.file(packet.handle)
         if not file.flags & sftp.READ:
-            raise RequestRejectedError(sftp.PERMISSION_DENIED, "the handle is not open for reading")
+            raise RequestRejectedError(sftp.PERMISSION_DENIED, "the handle is not open to read")
         data = await file.read(runner_for(file.folder), packet.offset, packet.length)
         if packet.length and not data:
             return status(packet.request_id, sftp.EOF, "end of file")
@@ -73,7 +73,7 @@
     def _writable_file(self, handle: bytes) -> OpenFile:
         file = self.handles.file(handle)
         if not file.flags & sftp.WRITE:
-            raise RequestRejectedError(sftp.PERMISSION_DENIED, "the handle is not open for writing")
+            raise RequestRejectedError(sftp.PERMISSION_DENIED, "the handle is not open to write")
         return file
 
     async def fsync(
--- a/rushmux/edge/handles.py
+++ b/rushmux/edge/handles.py
@@ -36,7 +36,7 @@
         """Raises RequestRejectedError if the table is full."""
         if len(self.by_id) >= self.max_handles:
             raise RequestRejectedError(
-                sftp.FAILURE, f"the session has {self.max_handles} open handles, the maximum"
+                sftp.FAILURE, f"{self.max_handles} handles are open, the most of a session"
             )
 
     def add(self, opened: OpenFile | OpenDirectory) -> bytes:
--- a/rushmux/edge/name_requests.py
+++ b/rushmux/edge/name_requests.py
@@ -29,7 +29,7 @@
         if location.names:
             found = await self.tree.resolve_existing(runner_for(location.folder), location.names)
             if not found.is_directory:
-                raise RequestRejectedError(sftp.FAILURE, "/".join(location.names) + " is not a directory")
+                raise RequestRejectedError(sftp.FAILURE, "/".join(location.names) + " is no directory")
             directory_id = found.file_id
         self.handles.check_capacity()
         handle = self.handles.add(OpenDirectory(location.path, location.folder, directory_id))
@@ -98,7 +98,7 @@
         source = self.context.locate_inside(packet.path)
         target = self.context.locate_inside(packet.target)
         if source.folder != target.folder:
-            raise RequestRejectedError(sftp.PERMISSION_DENIED, "names cannot be moved between folders")
+            raise RequestRejectedError(sftp.PERMISSION_DENIED, "names do not move between folders")
         await self.tree.rename(runner_for(source.folder), source.names, target.names, replace)
         self.handles.on_renamed(source.path, target.path)
         return status(packet.request_id)
--- a/rushmux/edge/openfile.py
+++ b/rushmux/edge/openfile.py
@@ -86,7 +86,7 @@
             return
         largest = layout.max_file_size(self.view.file.block_size)
         if offset + len(data) > largest:
-            raise RequestRejectedError(sftp.FAILURE, f"the file would exceed the maximum size of {largest}")
+            raise RequestRejectedError(sftp.FAILURE, f"past the largest size of a file, {largest}")
         if self.buffer is not None:
             file = self.buffered_file
             if await self.buffer.write(file, runner, offset, data, self.view):
--- a/rushmux/edge/request_context.py
+++ b/rushmux/edge/request_context.py
@@ -57,7 +57,7 @@
             return Location("", ())
         folder = names[0]
         if folder not in self.edge.deployment.folders:
-            raise RequestRejectedError(sftp.NO_SUCH_FILE, f"folder '{folder}' does not exist")
+            raise RequestRejectedError(sftp.NO_SUCH_FILE, f"there is no folder '{folder}'")
         if not self.edge.serves(folder):
             raise RequestRejectedError(
                 sftp.PERMISSION_DENIED, f"folder '{folder}' is not served by this edge"
@@ -70,7 +70,7 @@
         location = self.locate(path)
         if not location.names:
             raise RequestRejectedError(
-                sftp.PERMISSION_DENIED, "folders are changed only in the deployment file"
+                sftp.PERMISSION_DENIED, "folders are made and removed by the deployment file only"
             )
         return location
 
--- a/rushmux/edge/request_handlers.py
+++ b/rushmux/edge/request_handlers.py
@@ -63,7 +63,7 @@
         handler = self.by_packet_type.get(type(packet))
         if handler is None:
             raise RequestRejectedError(
-                sftp.OP_UNSUPPORTED, f"requests of type {packet.type_byte} are not supported"
+                sftp.OP_UNSUPPORTED, f"requests of type {packet.type_byte} are not offered"
             )
         return handler
 
@@ -71,7 +71,7 @@
         handler = self.by_extension.get(packet.name)
         if handler is None:
             name = packet.name[:MAX_QUOTED_NAME]
-            raise RequestRejectedError(sftp.OP_UNSUPPORTED, f"extension '{name}' is not supported")
+            raise RequestRejectedError(sftp.OP_UNSUPPORTED, f"extension '{name}' is not offered")
         try:
             return await handler(packet, sftp.FieldReader(memoryview(packet.data)), runner_for)
         except sftp.ProtocolError as error:
@@ -82,7 +82,7 @@
     ) -> sftp.Status:
         folder = self.context.locate(fields.text()).folder
         if not folder:
-            raise RequestRejectedError(sftp.FAILURE, "a barrier needs the path of a folder")
+            raise RequestRejectedError(sftp.FAILURE, "a barrier is set over one folder")
         if self.buffer is not None:
             barrier = self.buffer.set_barrier(folder)
             await self.buffer.wait_for_barrier(folder, barrier, runner_for(folder))
--- a/rushmux/edge/session.py
+++ b/rushmux/edge/session.py
@@ -232,7 +232,7 @@
                 self.log.error("object.corrupted", object=error.object_name)
             case _:
                 self.log.exception("session.fault", request=type(packet).__name__)
-                text = "internal error of the gateway; it was logged"
+                text = "a fault of the gateway; it was logged"
         return status(packet.request_id, code, text)
 
     # Replies.
--- a/rushmux/files/paths.py
+++ b/rushmux/files/paths.py
@@ -29,9 +29,9 @@
         InvalidPathError: The path contains NUL, leads above the root, or exceeds one of the limits above.
     """
     if "\0" in path:
-        raise InvalidPathError(path, "path contains a NUL character")
+        raise InvalidPathError(path, "a path with a NUL")
     if len(path.encode()) > MAX_PATH_BYTES:
-        raise InvalidPathError(path, f"path is longer than {MAX_PATH_BYTES} bytes")
+        raise InvalidPathError(path, f"a path of over {MAX_PATH_BYTES} bytes")
     names = []
     for name in path.split("/"):
         if name == "..":
@@ -40,10 +40,10 @@
             names.pop()
         elif name not in ("", "."):
             if len(name.encode()) > MAX_NAME_BYTES:
-                raise InvalidPathError(path, f"name is longer than {MAX_NAME_BYTES} bytes")
+                raise InvalidPathError(path, f"a name of over {MAX_NAME_BYTES} bytes")
             names.append(name)
     if len(names) > MAX_DEPTH:
-        raise InvalidPathError(path, f"path has more than {MAX_DEPTH} names")
+        raise InvalidPathError(path, f"a path of over {MAX_DEPTH} names")
     return tuple(names)
 
 
--- a/rushmux/routes/fleet_checks.py
+++ b/rushmux/routes/fleet_checks.py
@@ -49,8 +49,8 @@
     delay, interval = bounds.network_delay, bounds.settings.round_interval
     expires_at = delay + time_in_scheduler(bounds, request_class)
     text = (
-        f"{about}: the latest final answer arrives {format_ms(worst)} after the client's request, but the "
-        f"client waits {format_ms(deadline)}"
+        f"{about}: the latest final answer comes {format_ms(worst)} after the client's send, and it waits "
+        f"{format_ms(deadline)}"
     )
     steps = (
         Step(0, "the client sends its request"),
@@ -75,7 +75,7 @@
         suggestion += f", or /fleet/dial_ms {connect_timeout / 10:g}"
     text = (
         f"an execution of {route.name} reaches a draining node {format_ms(worst)} after this gateway was "
-        f"notified, {format_ms(bounds.drain_grace)} are allowed"
+        f"told, {format_ms(bounds.drain_grace)} are allowed"
     )
     steps = (
         Step(0, "the gateway is notified that the node drains"),
@@ -98,8 +98,8 @@
     fewer = "fewer gateways, a smaller most_units, or nodes that can take more"
     suggestion = f"/fleet/cold_units {units:g}" if units else fewer
     text = (
-        f"{count} gateways can send a node that just started {worst:.1f} units within {format_ms(window)}, "
-        f"{bounds.overload_units:g} overload it"
+        f"{count} gateways can send a just-started node {worst:.1f} units within {format_ms(window)}, "
+        f"{bounds.overload_units:g} push it over"
     )
     high = f"each draws the largest dither for the window and sends one more largest operation: {dithers:g}"
     answers = f"the node answers {bounds.served_units:g} units, and most of the overload margin is sent again"
@@ -132,7 +132,7 @@
     ):
         if own > fleet:
             window = format_ms(settings.retry_budget_window)
-            text = f"{route.name} may use {name} {own:g} in {window}, the fleet's budget has {fleet:g}"
+            text = f"{route.name} may take {name} {own:g} in {window}, the fleet's budget has {fleet:g}"
             suggestion = f"{name} {fleet:g}"
             found.append(
                 Finding(route.place("budget"), Rule.RETRY_BUDGET, text, own, fleet, suggestion, True)
@@ -147,7 +147,7 @@
     places = list(dict.fromkeys(route.places["budget"] for route in stated))
     each = int(100 * burst / len(stated)) / 100
     text = (
-        f"together {len(stated)} lanes and plans ({format_places(places)}) may use {together:g} additional "
+        f"together {len(stated)} lanes and plans ({format_places(places)}) may take {together:g} further "
         f"executions at once, the fleet's budget has {burst:g}"
     )
     steps = (
@@ -166,8 +166,8 @@
         return None
     places = list(dict.fromkeys(route.places["held"] for route in stated))
     text = (
-        f"together {len(stated)} lanes and plans ({format_places(places)}) may hold {together} operations; a "
-        f"gateway has capacity for {bounds.max_operations} and sheds the rest on arrival"
+        f"together {len(stated)} lanes and plans ({format_places(places)}) may hold {together} operations, a "
+        f"gateway has place for {bounds.max_operations} and sheds the rest at its door"
     )
     suggestion = f"held {bounds.max_operations // len(stated)} each"
     return Finding(places[-1], Rule.NO_LOSS, text, together, bounds.max_operations, suggestion, True)
--- a/rushmux/routes/resolve.py
+++ b/rushmux/routes/resolve.py
@@ -62,7 +62,7 @@
                 found.append((f"/routes/{number}/{kind}", text))
         names = row.get("lane"), row.get("plan")
         if names in seen and names != (None, None):
-            found.append((f"/routes/{number}", f"has the same lane and plan as /routes/{seen[names]}"))
+            found.append((f"/routes/{number}", f"routes the same as /routes/{seen[names]}"))
         seen.setdefault(names, number)
     return found
 
--- a/rushmux/routes/route_checks.py
+++ b/rushmux/routes/route_checks.py
@@ -61,15 +61,15 @@
     if end > stop:
         worst, bound = end, stop
         text = (
-            f"{count} execution(s) of {format_ms(policy.attempt_timeout)} with waits of "
+            f"{count} execution(s) of {format_ms(policy.attempt_timeout)} and waits of "
             f"{format_ms(policy.retry_delay)} end after {format_ms(end)}; {route.name} has "
             f"{format_ms(stop)}"
         )
     else:
         worst, bound = last, objective - 1
         text = (
-            f"execution {count} would be sent after {format_ms(last)}; {route.name} has a quoted time of "
-            f"{format_ms(objective)}, and none is sent after it"
+            f"execution {count} would go after {format_ms(last)}; {route.name} is answered by its quoted "
+            f"time of {format_ms(objective)}, and none goes after it"
         )
     place = route.place("executions" if count > 1 else "time_out_ms", "time_out_ms")
     suggestion, steps = _suggest_fit(route, count, interval), _attempt_steps(route, count, interval)
@@ -91,10 +91,10 @@
         return Finding(place, Rule.NO_DUPLICATE, f"{route.name}{text}", 2, 1, suggestion, True, steps)
 
     if not settings.allows_hedging:
-        text = ": two executions would be in flight at a time, the fleet allows one"
+        text = ": two executions would be out at a time, the fleet allows one"
         return duplicate(text, "second_copy false, or /fleet/second_copies true")
     if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
-        text = " must never run twice, but a second copy could run as well as the first"
+        text = " must never run twice, a second copy would run beside the first"
         return duplicate(
             text,
             "second_copy false",
@@ -104,10 +104,12 @@
         )
     keyed = request_class.idempotency is Idempotency.KEYED
     if keyed and request_class.dedup_scope is DedupScope.CELL:
-        text = ": a second copy of a new object goes to another cell, and only its first cell knows its mark"
+        text = (
+            ": a second copy of a new object goes to another cell, and only its own cell knows its mark again"
+        )
         return duplicate(text, "second_copy false, or group 'all'")
     if min(policy.max_attempts, settings.max_attempts) <= 1:
-        text = " has one execution, but a second copy would be a second one"
+        text = " has one execution, a second copy would be another"
         return duplicate(text, "executions 2, or second_copy false")
     return None
 
@@ -123,7 +125,7 @@
     suggestion = f"after_ms {latest / 10:g}, or second_copy false" if latest >= 0 else "second_copy false"
     text = (
         f"{route.name}: a copy sent after {format_ms(hedge_after)} is answered after "
-        f"{format_ms(answered)} at the earliest, but no answer is awaited after {format_ms(awaited)}"
+        f"{format_ms(answered)} at the earliest, and nothing is awaited past {format_ms(awaited)}"
     )
     steps = (
         Step(0, "the first execution is sent"),
@@ -156,7 +158,7 @@
     if timeout > 0:
         suggestion += f", or time_out_ms {timeout / 10:g}"
     text = (
-        f"{route.name}: a repeat reaches its node {format_ms(arrives_at)} after the first was sent, but "
+        f"{route.name}: a repeat reaches its node {format_ms(arrives_at)} after the first was sent, and "
         f"its mark is known for {format_ms(window)}"
     )
     steps = (
--- a/rushmux/settings/deployment_checks.py
+++ b/rushmux/settings/deployment_checks.py
@@ -79,7 +79,7 @@
         if row["repeat"] == "referenced" and not row.get("window_ms"):
             yield (
                 f"/lanes/{name}/window_ms",
-                "a referenced lane needs the time for which repeats are recognized",
+                "a referenced lane needs the time that repeats are known",
             )
 
 
@@ -92,7 +92,7 @@
         elif role == "change" and classes[name]["repeat"] == "replayable":
             yield place, f"lane '{name}' is replayable; a change of names must not run twice"
         elif role == "change" and classes[name].get("group") != "cell":
-            yield place, f"lane '{name}' must state group 'cell': a repeat is recognized only there"
+            yield place, f"lane '{name}' must state group 'cell': only it knows a mark again"
 
 
 def _plan_faults(raw: dict) -> Iterator[Fault]:
@@ -103,10 +103,10 @@
         if plan["reserve"] > plan["nominal"]:
             yield f"/plans/{name}/reserve", f"{plan['reserve']} is over the nominal {plan['nominal']}"
         if plan.get("limit") and burst < max_units * gateways:
-            why = "the share of each gateway must hold one largest operation"
+            why = "one largest operation for each gateway, or a part of the burst holds none"
             yield burst_place, f"{burst} is under {max_units * gateways}: {why}"
         if plan.get("limit") and fleet.get("shares") and burst * SAFE_FRACTION / gateways < max_units:
-            why = "a safe fraction of each share must hold one largest operation"
+            why = "a safe part of it holds no largest operation"
             yield burst_place, f"{burst} is under {max_units * gateways / SAFE_FRACTION:g}: {why}"
 
 
@@ -125,16 +125,16 @@
 def _buffer_faults(raw: dict) -> Iterator[Fault]:
     buffer = raw.get("buffer", {})
     if buffer.get("folder_bytes", 8 << 20) > buffer.get("edge_bytes", 64 << 20):
-        yield "/buffer/folder_bytes", "must not exceed edge_bytes, the limit of its edge"
+        yield "/buffer/folder_bytes", "a folder cannot hold more than its edge"
     if buffer.get("age_ms", 2_000) >= buffer.get("keep_ms", 30_000):
-        yield "/buffer/keep_ms", "must be longer than age_ms, or data is discarded before it is written out"
+        yield "/buffer/keep_ms", "what is given up before it is written out is always lost"
 
 
 def _size_faults(raw: dict) -> Iterator[Fault]:
     fleet = raw["fleet"]
     largest, max_units = raw.get("files", {}).get("object_bytes", 262_144), fleet.get("most_units", 8)
     if fleet.get("unit_bytes", 32_768) * max_units < largest:
-        yield "/files/object_bytes", f"{largest} bytes are more units than most_units {max_units}"
+        yield "/files/object_bytes", f"{largest} bytes count more than most_units {max_units}"
 
 
 def _patience_faults(raw: dict) -> Iterator[Fault]:
--- a/rushmux/sftp/fields.py
+++ b/rushmux/sftp/fields.py
@@ -51,7 +51,7 @@
     def _take(self, count: int) -> bytes | memoryview:
         available = len(self.data) - self.position
         if count > available:
-            raise ProtocolError(f"field of {count} bytes exceeds the {available} bytes left")
+            raise ProtocolError(f"a field of {count} bytes where {available} are left")
         self.position += count
         return self.data[self.position - count : self.position]
 
@@ -76,7 +76,7 @@
         try:
             return self.raw().decode()
         except UnicodeDecodeError as error:
-            raise ProtocolError(f"text is not valid UTF-8: {error.reason}") from error
+            raise ProtocolError(f"text that is not UTF-8: {error.reason}") from error
 
     def attributes(self) -> Attributes:
         """Reads attributes and skips extended ones."""
--- a/rushmux/standins/node.py
+++ b/rushmux/standins/node.py
@@ -26,7 +26,7 @@
 """The most attempts that the fault `stuck` holds; further ones are lost."""
 READ_SIZE = 1 << 16
 SERVED_CODES = (messages.DONE, messages.MISSING, messages.CONFLICT)
-FAULT_TEXT = "injected fault"
+FAULT_TEXT = "in trouble"
 """The error text of attempts that fail because of a fault."""
 
 
@@ -315,7 +315,7 @@
         if what == "drop":
             return self.store.drop(body.drop)
         if what != "change":
-            return messages.Outcome(code=messages.FAILED, error="the attempt names no operation")
+            return messages.Outcome(code=messages.FAILED, error="nothing to do")
         version = self.store.version
         outcome = self.store.change(body.volume, body.change, self.loop.time())
         if self.store.version != version:
--- a/rushmux/standins/store.py
+++ b/rushmux/standins/store.py
@@ -133,14 +133,14 @@
             return messages.Outcome(code=messages.MISSING)
         data, crc = result
         if zlib.crc32(data) != crc:
-            return messages.Outcome(code=messages.FAILED, error="the object is corrupt on disk")
+            return messages.Outcome(code=messages.FAILED, error="the object is damaged on disk")
         part = data[request.offset : request.offset + request.length]
         return messages.Outcome(data=part, crc=zlib.crc32(part))
 
     def write(self, request: messages.WriteObject) -> messages.Outcome:
         """Stores an object, unless an earlier attempt of the operation has stored it."""
         if zlib.crc32(request.data) != request.crc:
-            return messages.Outcome(code=messages.FAILED, error="the data arrived corrupt")
+            return messages.Outcome(code=messages.FAILED, error="the data came damaged")
         if self.database.execute("select 1 from objects where name = ?", (request.object,)).fetchone():
             return messages.Outcome()
         self._allocate(len(request.data))
@@ -151,7 +151,7 @@
 
     def _allocate(self, size: int) -> None:
         if size > self.free:
-            raise DiskFullError(f"{size} bytes needed, {self.free} free")
+            raise DiskFullError(f"{size} bytes where {self.free} are free")
         self.used += size
 
     def drop(self, request: messages.DropObjects) -> messages.Outcome:
