--- a/rushmux/standins/client.py
+++ b/rushmux/standins/client.py
@@ -1,4 +1,4 @@
-"""An SFTP client for tests, which sends requests concurrently and records each with its reply."""
+"""An SFTP client for tests, which records each request and reply."""
 
 import asyncio
 from collections.abc import Callable
@@ -80,7 +80,7 @@
         Args:
             kind: The packet's class.
             fields: Its fields after the request id.
-            record_fields: Further fields of the recorded row.
+            record_fields: Further fields to record.
 
         Raises:
             StatusError: The reply is a status other than OK.
@@ -88,7 +88,7 @@
         """
         if self.reader_task is None or self.reader_task.done():
             raise ConnectionClosedError("not connected")
-        # The server counts requests from 1 too, so that both sides' records use the same number.
+        # The server counts from 1 too, so that both sides record the same number.
         self.request_count += 1
         number = self.request_count
         future = self.pending[number] = self.loop.create_future()
--- a/rushmux/standins/fault_control.py
+++ b/rushmux/standins/fault_control.py
@@ -15,14 +15,14 @@
 
         Args:
             kind: The name of the fault.
-            size: Its strength, with a meaning of its own for each kind.
-            seconds: Its duration; 0: it does not end.
+            size: Its strength; the meaning depends on the kind.
+            seconds: Its duration; 0: unlimited.
 
         Raises:
             WireError: The kind is unknown.
         """
 
     def on_fault_request(self, peer: PeerConnection, request: messages.Trouble) -> None:
-        """Starts the fault that a peer requested, and acknowledges the request."""
+        """Starts and acknowledges a fault that a peer requested."""
         self.start_fault(request.kind, request.size, request.seconds)
         peer.send(obeyed=messages.Obeyed(kind=request.kind))
--- a/rushmux/standins/fault_injection.py
+++ b/rushmux/standins/fault_injection.py
@@ -18,7 +18,7 @@
 POLL_INTERVAL = 0.02
 """Seconds between reads of the planners' recordings."""
 SETTLE_TIME, SETTLE_POLL_INTERVAL = 25.0, 0.2
-"""Seconds within which all members must apply the same version at the end, and between checks of that."""
+"""Seconds for all members to apply the same version at the end, and between checks."""
 CLIENT_SEED = 7
 
 
@@ -29,7 +29,7 @@
         self._fleet, self._loop = fleet, fleet.loop
 
     async def run(self) -> None:
-        """Runs the steps while clients work, and waits until the fleet has settled or SETTLE_TIME is over."""
+        """Runs the steps and the clients, then waits at most SETTLE_TIME for the fleet to settle."""
         steps = _Steps(self._fleet.scenario.steps, self._fleet.applied_commands)
         length, begun_at = self._fleet.scenario.sizes["length"], self._loop.time()
         clients, tasks = self._loop.create_task(self._run_clients()), []
@@ -74,7 +74,7 @@
         return bool(self._timed or self._triggered)
 
     def take_due(self, elapsed: float) -> list[Step]:
-        """Removes and returns the steps that are due."""
+        """Removes and returns due steps."""
         due = [step for step in self._timed if step.at <= elapsed]
         self._timed = self._timed[len(due) :]
         return due
@@ -96,7 +96,7 @@
 
 
 class ScenarioResult(NamedTuple):
-    """The result of a scenario: the breaches found (none: it passed) and counts of events."""
+    """The result of a scenario: breaches (none: it passed) and counts of events."""
 
     scenario: str
     breaches: list[str]
@@ -108,8 +108,8 @@
 
     Args:
         scenario: The scenario.
-        folder: The folder for data, logs and recordings.
-        seed: The seed of all random draws.
+        folder: For data, logs and recordings.
+        seed: Seed of all random draws.
     """
     folder.mkdir(parents=True, exist_ok=True)
     raw = raw_deployment(scenario)
@@ -145,10 +145,10 @@
     Args:
         scenarios: The scenarios.
         folder: The parent of their folders.
-        jobs: The number of scenarios that run concurrently.
-        seed: The seed of each scenario.
-        show: Called with a line of text when a scenario ends.
-        show_facts: Whether the counts are shown too.
+        jobs: How many run concurrently.
+        seed: Seed of each scenario.
+        show: Called with a line when a scenario ends.
+        show_facts: Whether to show the counts too.
     """
     slots = asyncio.Semaphore(jobs)
 
--- a/rushmux/standins/fault_proxy.py
+++ b/rushmux/standins/fault_proxy.py
@@ -21,7 +21,7 @@
     Attributes:
         open: Set unless the link is cut.
         delay: The shortest and longest delay of data, seconds.
-        reset_after: The number of bytes after which one connection is reset; None: none is reset.
+        reset_after: Bytes after which one connection is reset; None: never.
     """
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         return self._links.setdefault((source, target), Link())
 
     async def port(self, source: str, target: str) -> int:
-        """Returns the port at which `source` reaches `target`; starts the proxy if needed."""
+        """The proxy port at which `source` reaches `target`."""
         if (source, target) not in self._ports:
 
             async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -126,7 +126,7 @@
                 self._refused.discard((source, target))
 
     def refuse(self, source: str, target: str) -> None:
-        """Refuses connections between two processes until `heal`, and aborts the open ones."""
+        """Refuses connections of a link until `heal`, and aborts the open ones."""
         self._refused.add((source, target))
         for writer, pair in list(self._connections.items()):
             if pair in ((source, target), (target, source)):
@@ -142,6 +142,6 @@
 
 
 def matching_names(pattern: str, names: Iterable[str]) -> list[str]:
-    """Returns the names that a pattern matches: the same name, or all of a kind (`edges`, `planners`)."""
+    """The names that a pattern matches: one name, or all of a kind (`edges`, `planners`)."""
     prefix = pattern.rstrip("s")
     return [name for name in names if name == pattern or name.startswith(prefix)] or [pattern]
--- a/rushmux/standins/fault_scenario.py
+++ b/rushmux/standins/fault_scenario.py
@@ -1,8 +1,8 @@
 """The notation of fault scenarios, which run on fleets of real processes (`stories/*.txt`).
 
 `planners 3`, `edges 3`, `nodes 2`, `length 30`, `limit 60`, `load 0.3` configure the fleet.  `at TIME VERB …`
-is a step at a time, `on KIND VERB …` a step when the first planner has applied a command of that kind
-(`on propose after 0.3 kill leader`).  Verbs:
+runs at a time, `on KIND VERB …` when the first planner has applied a command of that kind (`on propose after
+0.3 kill leader`).  Verbs:
 
     propose PLACE=VALUE … [base N] [as WORD]   withdraw N   revert N [as WORD]   forget MEMBER
     kill NAME   stop NAME SECONDS   start NAME [image|empty|torn]   image NAME   full NAME SECONDS
@@ -10,8 +10,8 @@
     refuse NAMES to NAMES SECONDS   reset NAME from NAME BYTES
 
 `leader` is the current leader, `last` the process that was killed last.
-`expect WORD decided|ended|withdrawn|refused [text]` states the expected outcome of a change, `expect force N`
-the policy version that must be active at the end.
+`expect WORD decided|ended|withdrawn|refused [text]` is the expected outcome of a change, `expect force N` the
+final active version.
 """
 
 import json
@@ -26,7 +26,7 @@
 EXAMPLE = Path(documents.__file__).with_name("example.json")
 MAX_LINES = 500
 LIMITED_FOLDER = "caribe"
-"""A folder with a limit, with more demand than the limit allows."""
+"""A folder whose demand exceeds its limit."""
 LIMITED_PLAN = "basico"
 SIZES: Mapping[str, float] = {
     "planners": 3,
@@ -57,17 +57,17 @@
 
 
 class ScenarioError(Exception):
-    """A line is invalid, or the file cannot be read; the text quotes the line or the path."""
+    """An invalid line or an unreadable file, quoted by the text."""
 
 
 class Step(NamedTuple):
     """An action on the fleet.
 
     Attributes:
-        at: Seconds after the start of the clients, or after the command that triggers the step.
-        on: The kind of the command that triggers it; empty: none, it has a time.
+        at: Seconds after the start of the clients, or after the triggering command.
+        on: The kind of the triggering command; empty: none.
         verb: One of VERBS.
-        words: The arguments of the verb.
+        words: Its arguments.
     """
 
     at: float
@@ -89,7 +89,7 @@
     """Parses the text of a scenario.
 
     Raises:
-        ScenarioError: A line is invalid; the text quotes it with the reason.
+        ScenarioError: A line is invalid.
     """
     sizes, steps, expectations = dict(SIZES), [], []
     for number, line in enumerate(text.splitlines()[:MAX_LINES], 1):
@@ -136,12 +136,12 @@
 
 
 def names() -> list[str]:
-    """Returns the names of the scenarios in the collection."""
+    """The names of the collection's scenarios."""
     return sorted(path.stem for path in SCENARIOS.glob("*.txt"))
 
 
 def raw_deployment(scenario: Scenario) -> dict:
-    """Returns a scenario's deployment: the example with a replicated policy, and a limit below the demand."""
+    """The example deployment with a replicated policy and a limit below the demand."""
     raw, limit = json.loads(EXAMPLE.read_text()), scenario.sizes["limit"]
     raw["fleet"].update(gateways=scenario.sizes["edges"], policy=True)
     raw["plans"][LIMITED_PLAN].update(limit=limit, burst=2 * limit)
--- a/rushmux/standins/fleet.py
+++ b/rushmux/standins/fleet.py
@@ -25,12 +25,12 @@
 
 HOST = "127.0.0.1"
 START_TIMEOUT = 60.0
-"""Seconds within which every edge must know all nodes."""
+"""Seconds for every edge to know all nodes."""
 POLL_INTERVAL = 0.05
 DISK_SIZE = 1 << 30
 """The default size of a node's disk, bytes."""
 EPOCH = 1_800_000_000.0
-"""The calendar time at which the virtual clock starts."""
+"""Calendar time at the start of the virtual clock."""
 
 FAULT_EVENTS = ("task.failed", "peer.fault", "policy_leader.answer_fault", "raft.command_unreadable")
 """Log events of internal errors that a program survived; in tests they are failures."""
@@ -49,7 +49,7 @@
 
 
 def shape_of(deployment: Deployment, **other) -> Shape:
-    """Returns the machine shape that a deployment states."""
+    """The machine that a deployment states."""
     settings = deployment.settings
     return Shape(
         cold_start=settings.initial_capacity,
@@ -61,7 +61,7 @@
 
 
 def dedup_window_of(deployment: Deployment) -> float:
-    """Returns how long a node recognizes the mark of a change, with a second for network delays."""
+    """How long a node recognizes the mark of a change, with a second for network delays."""
     return deployment.settings.request_classes[deployment.roles["change"]].dedup_window / TICKS_PER_SECOND + 1
 
 
@@ -69,8 +69,8 @@
     """A fleet whose parts run in simulated processes.
 
     Attributes:
-        records: The recorded events of the stand-ins and edges.
-        logs: The log entries of the programs.
+        records: Recorded events.
+        logs: Log entries.
     """
 
     def __init__(
@@ -125,7 +125,7 @@
         raise TimeoutError(f"not every edge knows all {nodes} nodes after {START_TIMEOUT:g} s")
 
     async def start_list_source(self, nodes, port=0):
-        """Starts the stand-in for the source of the endpoint list."""
+        """Starts the list source."""
         settings = self.deployment.settings
         process = self.loop.process("lists")
         source = ListSource(
@@ -204,7 +204,7 @@
         return self.edges[number]
 
     def endpoint_cache(self, number):
-        """Returns an edge's endpoint cache, or None if edges have none."""
+        """An edge's endpoint cache, or None."""
         if self.endpoint_cache_folder is None:
             return None
         return EndpointCache(
@@ -214,7 +214,7 @@
         )
 
     def log_disk(self, number):
-        """Returns the disk of an edge's write-ahead log, or None if edges have none."""
+        """The disk of an edge's write-ahead log, or None."""
         if self.log_disks is None:
             return None
         return self.log_disks.setdefault(number, SimulatedSegments())
@@ -225,7 +225,7 @@
         self.edges[number].process.kill()
 
     def reload(self, numbers, raw):
-        """Reloads the deployment at edges, as on SIGHUP; returns whether each applied its routes."""
+        """Reloads edges as SIGHUP does; returns whether each applied the routes."""
         return [
             self.edges[number].process.context.run(self.edges[number].program.reload, lambda: build(raw))
             for number in numbers
@@ -256,7 +256,7 @@
 
 
 def run_fleet(deployment: Deployment, seed: int, steps, nodes=4, edges=2, **fleet):
-    """Starts a fleet on a virtual clock and runs `steps(fleet)`; returns the fleet and the steps' result."""
+    """Runs `steps(fleet)` on a new fleet and a virtual clock; returns the fleet and the result."""
 
     async def run_steps(loop):
         started = VirtualFleet(loop, deployment, seed, **fleet)
--- a/rushmux/standins/lists.py
+++ b/rushmux/standins/lists.py
@@ -17,7 +17,7 @@
 MAX_NODES = 10_000
 """The largest number of entries that edges accept."""
 MAX_SETTLE_TIME = 3.0
-"""Seconds after its start until a source publishes its list even if cells are missing."""
+"""Seconds until a new source publishes its list even if cells are missing."""
 REMOVED_RETENTION = 600.0
 """Seconds for which the list keeps a removed node."""
 PERCENT = 100
@@ -41,8 +41,8 @@
         log: The logger.
         record: Called with `(kind, **fields)` for each published change.
         start: The incarnation.
-        usage_period: Seconds between reports of the fleet's usage to nodes; 0: none are sent.
-        nominal_rates: The nominal rate of each folder's plan, units per second.
+        usage_period: Seconds between usage reports to nodes; 0: none.
+        nominal_rates: Nominal units per second of each folder's plan.
         accepts_faults: Whether peers may inject faults.
     """
 
@@ -123,7 +123,7 @@
         self._on_entry(entry)
 
     def start_fault(self, kind: str, size: float = 0.0, seconds: float = 0.0) -> None:
-        """Starts a fault: `lag` delays changes by `size` seconds, `silent` sends nothing."""
+        """Starts `lag` (changes are `size` seconds late) or `silent` (nothing is sent)."""
         if kind not in (LAG_FAULT, SILENT_FAULT):
             raise WireError(f"unknown fault '{kind}'")
         former_lag = self.lag
--- a/rushmux/standins/node.py
+++ b/rushmux/standins/node.py
@@ -23,7 +23,7 @@
 RECONNECT_DELAY = 0.3
 """Seconds before the node connects to the list source again."""
 MAX_STUCK_ATTEMPTS = 10_000
-"""The most attempts that the fault `stuck` holds; further ones are lost."""
+"""Attempts that the fault `stuck` holds; further ones are lost."""
 READ_SIZE = 1 << 16
 SERVED_CODES = (messages.DONE, messages.MISSING, messages.CONFLICT)
 FAULT_TEXT = "injected fault"
@@ -53,7 +53,7 @@
     cell: int
     zone: str
     advertised: Address | None = None
-    """The address for edges, if it differs from the one that the node listens on."""
+    """The address for edges, if not the one listened on."""
 
 
 class Node(FaultInjectingServer):
@@ -62,12 +62,12 @@
     Args:
         identity: Its name and location.
         store: Its disk.
-        endpoint_sources: The address of the list source, or the addresses of all planners.
+        endpoint_sources: Address of the list source, or of all planners.
         shape: Its machine.
         seed: The seed of its random draws and its incarnation.
         cold: Whether it begins with a slow start.
         log: The logger.
-        record: Called with `(kind, **fields)` for each attempt, outcome, effect and other event.
+        record: Called with `(kind, **fields)` for each event.
         accepts_faults: Whether peers may inject faults.
     """
 
@@ -143,7 +143,7 @@
     # Reports to the list source.
 
     def age(self) -> int:
-        """Ticks since the start, for hellos and reports; a node started warm counts as already warmed up."""
+        """Ticks since the start, for hellos and reports; a warm node counts as warmed up."""
         warm_for = 0 if self.cold else self.shape.warm_within
         return int((self.loop.time() - self._started_at + warm_for) * TICKS_PER_SECOND)
 
@@ -166,7 +166,7 @@
         return messages.Message(report=messages.Report(entry=entry, used=used, out=self.model.in_flight))
 
     async def _report_until_cancelled(self) -> None:
-        """Reports to the list source, or to the planner that accepts reports, until cancelled."""
+        """Reports to the list source, or to the planner that accepts reports."""
         attempt = 0
         while True:
             with contextlib.suppress(OSError):
@@ -329,7 +329,7 @@
             self._answer(peer, body, outcome)
 
     def _answer(self, peer: PeerConnection, body: messages.Execute, outcome: messages.Outcome) -> None:
-        """Sends an outcome with the node's load and the folder's usage, unless a fault suppresses it."""
+        """Sends an outcome with load and usage, unless a fault suppresses it."""
         outcome.corr, outcome.inflight = body.corr, self.model.in_flight
         if outcome.code in SERVED_CODES:
             outcome.from_others = self.usage_meter.add(body.volume, peer.hello.peer, body.units)
--- a/rushmux/standins/processes.py
+++ b/rushmux/standins/processes.py
@@ -22,12 +22,12 @@
 STOP_TIMEOUT = 15.0
 """Seconds for a process to end after SIGTERM; longer than its clients wait for answers."""
 LIST_TIMEOUT = 30.0
-"""Seconds within which every edge must have an endpoint list."""
+"""Seconds for every edge to get an endpoint list."""
 POLL_INTERVAL = 0.05
 READ_SIZE = 1 << 16
 SEED_BITS = 48
 MAX_LOG_SHOWN = 2_000
-"""The number of characters of a log's end that an error quotes."""
+"""Characters of a log's end that an error quotes."""
 
 
 class ProcessStartError(Exception):
@@ -48,7 +48,7 @@
 
 
 class ProcessFleet(FleetOperations):
-    """The fleet; `folder` holds its data, logs and recordings (written if `records` is set)."""
+    """The fleet; `folder` holds data, logs and recordings (if `records` is set)."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         self.rows.append({"kind": kind, "at": self.loop.time(), **fields})
 
     async def start_process(self, name, *words):
-        """Starts a process with a subcommand and its arguments, and waits until it prints its port."""
+        """Starts a process with a subcommand, and waits until it prints its port."""
         self.process_count += 1
         log = self.folder / "logs" / f"{self.process_count:03}-{name}.jsonl"
         rows = self.folder / "records" / f"{self.process_count:03}-{name}.jsonl"
@@ -120,7 +120,7 @@
                 await asyncio.sleep(POLL_INTERVAL)
 
     async def start_list_source(self):
-        """Starts the stand-in for the source of the endpoint list."""
+        """Starts the list source."""
         self.endpoint_source = await self.start_process(
             "lists", "lists", "--deployment", self.file, "--cells", self.cells, "--lag", self.lag, "--obeys"
         )
@@ -205,7 +205,7 @@
         self.edges[number].process.kill()
 
     async def inject_fault(self, target, kind, size=0.0, seconds=0.0):
-        """Starts a fault at a node or at the list source (`lists`), by a message to it."""
+        """Sends a node or the list source (`lists`) a request to start a fault."""
         part = self.endpoint_source if target == "lists" else self.nodes[target]
         reader, writer = await asyncio.open_connection(*part.address)
         hello = messages.Hello(version=VERSION, peer="script", start="0")
@@ -238,7 +238,7 @@
         await part.process.wait()
 
     async def stop(self):
-        """Stops all parts, the edges first so that they can answer pending requests."""
+        """Stops all parts, edges first so that they answer pending requests."""
         for parts in (
             self.edges.values(),
             self.nodes.values(),
--- a/rushmux/standins/scenario.py
+++ b/rushmux/standins/scenario.py
@@ -16,24 +16,24 @@
 from rushmux.standins.script import DAYS, Script
 
 MAX_TASKS = 4_000
-"""The most concurrent user tasks of a folder; further ones are skipped and counted as rejected."""
+"""Concurrent tasks of a folder; further ones are counted as rejected."""
 MAX_KNOWN_FILES = 200
-"""The number of a folder's latest files that readers choose from."""
+"""Latest files of a folder that readers choose from."""
 LEDGER_SIZE = 4_096
-"""Bytes of a ledger, a file that is overwritten again and again."""
+"""Bytes of a ledger, a file that is overwritten repeatedly."""
 LEDGER_READ_CHANCE = 0.5
 FILE_SIZES = ((0.6, 2_000, 30_000), (0.3, 30_000, 64_000), (0.1, 64_000, 300_000))
-"""Shares of the files, with their smallest and largest sizes in bytes."""
+"""(share of files, smallest and largest size in bytes)"""
 UNITS_PER_TASK = 6.0
-"""Units of an average task; determines the rate of tasks."""
+"""Mean units of a task."""
 MAX_SESSIONS = 6
-"""The most sessions of a folder with an edge."""
+"""Sessions of a folder with an edge."""
 BUSY_REQUESTS, MAX_REQUESTS = 8, 40
-"""Pending requests of a session from which on another one is opened, and the most allowed."""
+"""Pending requests from which on another session is opened, and the limit."""
 RECONNECT_DELAY = 0.5
-"""Seconds before a session that could not be opened may be tried again."""
+"""Seconds between attempts to open a session."""
 DRAIN_PATIENCE = 3
-"""How long the end of the day waits for the last answers, in request timeouts."""
+"""Request timeouts to wait for the last answers."""
 DIGEST_BYTES, SEED_BYTES = 8, 32
 
 
@@ -41,10 +41,10 @@
     """The load of clients.
 
     Attributes:
-        nominal_share: The rate, relative to the nominal rate of each folder's plan.
-        reads: The share of tasks that read a file.
-        lists: The share that list the folder.
-        ledgers: The share that read or overwrite a ledger; all others write a new file.
+        nominal_share: Rate relative to the nominal rate of each folder's plan.
+        reads: Share of tasks that read a file.
+        lists: Share that list the folder.
+        ledgers: Share that use a ledger; the rest write a new file.
     """
 
     nominal_share: float = 1.0
@@ -54,18 +54,18 @@
 
 
 def content(path: str, number: int, size: int) -> bytes:
-    """Returns the content of a version of a file."""
+    """The content of a version of a file."""
     seed = hashlib.blake2b(f"{path}#{number}".encode(), digest_size=SEED_BYTES).digest()
     return (seed * (size // SEED_BYTES + 1))[:size]
 
 
 def digest(data: bytes) -> str:
-    """Returns a hash that identifies a content in recordings."""
+    """Identifies a content in recordings."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
 class FolderClients:
-    """The clients of a folder, with a few sessions at each edge, which are reopened when they end."""
+    """The clients of a folder, which share a few sessions with each edge."""
 
     def __init__(self, fleet, folder, edges, load, seed):
         self.fleet, self.folder, self.edges, self.load = fleet, folder, edges, load
@@ -112,7 +112,7 @@
         return await asyncio.shield(least_busy)
 
     async def open_session(self, edge):
-        """Opens a session; delays a failure, so that it is not retried at once."""
+        """Opens a session; a failure is delayed, so that it is not retried at once."""
         try:
             return await self.fleet.client(edge)
         except (OSError, ConnectionClosedError):
@@ -146,7 +146,7 @@
         return FILE_SIZES[0][1]
 
     def record(self, kind, path, data, begun):
-        """Records a read or write of a file, and its start time."""
+        """Records a read or write and its start."""
         self.fleet.record(kind, path=path, digest=digest(data), begun=begun)
 
     async def write(self, client, path, size, record_fields):
@@ -164,7 +164,7 @@
         self.record("got", path, data, begun)
 
     async def use_ledger(self, client, edge, record_fields):
-        """Overwrites or reads a ledger in one request, so that a read must return one complete version."""
+        """Overwrites or reads a ledger in one request: a read must return one version."""
         path, begun = f"/{self.folder}/ledger{edge}", self.fleet.loop.time()
         if edge in self.ledger_versions and self.rng.random() < LEDGER_READ_CHANCE:
             handle = await client.open(path, sftp.READ, **record_fields)
--- a/rushmux/standins/scenario_fleet.py
+++ b/rushmux/standins/scenario_fleet.py
@@ -17,10 +17,10 @@
 from rushmux.standins.processes import HOST, Part, ProcessFleet
 
 NODE_UNIT_TIME = 0.002
-"""The time that a node's core takes for a unit of work, seconds."""
+"""Seconds of a node's core for a unit of work."""
 POLL_INTERVAL = 0.1
 START_TIMEOUT = 45.0
-"""Seconds within which every edge must serve under the policy."""
+"""Seconds for every edge to serve under the policy."""
 LEADER_POLLS, KILL_POLLS = 100, 300
 """Polls for a leader, and for a process that a step must kill first."""
 TORN_BYTES = 3
@@ -53,7 +53,7 @@
 
         Args:
             name: Its name.
-            bootstrap: Whether it creates a new log, as at the first start of the fleet.
+            bootstrap: Whether to create a log, as at the first start.
         """
         addresses = [f"{other}={HOST}:{await self.proxies.port(name, other)}" for other in self.planner_names]
         arguments = {
@@ -69,7 +69,7 @@
         self.proxies.targets[name] = part.port
 
     async def _proxied_planner_addresses(self, name: str) -> str:
-        """Returns the addresses at which a process reaches the planners through proxies."""
+        """The proxies' addresses at which a process reaches the planners."""
         return ",".join([f"{HOST}:{await self.proxies.port(name, other)}" for other in self.planner_names])
 
     async def start_node(self, name: str, cell: int, cold: bool = True) -> Part:
@@ -134,7 +134,7 @@
     # Recordings.
 
     def _rows_of(self, part: Part) -> list[Row]:
-        """Returns the rows that a process has recorded so far."""
+        """The rows that a process has recorded so far."""
         path = self.folder / "records" / (part.log.stem + ".jsonl")
         lines = path.read_bytes().splitlines(keepends=True) if path.exists() else ()
         return [json.loads(line) for line in lines if line.endswith(b"\n")]
@@ -143,7 +143,7 @@
         return [row for row in self._rows_of(edge) if row["kind"] == "goes_by"]
 
     def applied_commands(self) -> list[Row]:
-        """Returns the recorded commands that planners have applied."""
+        """The commands that planners have applied."""
         rows = (row for part in self.planners.values() for row in self._rows_of(part))
         return [row for row in rows if row["kind"] == "decided"]
 
@@ -176,9 +176,9 @@
     # Names in steps.
 
     async def _resolve(self, word: str) -> str:
-        """Returns the name of the process that a word means.
+        """The name of the process that a word means.
 
-        `last` waits for a kill, because on a busy machine the step that kills may run late.
+        `last` waits for a kill, which may come late on a busy machine.
         """
         if word == "leader":
             return await self._leader()
@@ -201,7 +201,7 @@
         return [name for word in words.split(",") for name in matching_names(word, known)]
 
     def _disk(self, name: str) -> list[Path]:
-        """Returns the files and folders of a process's data."""
+        """The files and folders of a process's data."""
         data = self.folder / "data"
         if name.startswith(NODE):
             return [data / f"{name}.db", data / f"{name}.db-wal"]
@@ -248,7 +248,7 @@
         await part.process.wait()
 
     async def _do_image(self, name: str) -> None:
-        """Copies a process's data to an image, with which it may be started later."""
+        """Copies a process's data to an image, for a later start."""
         for path in self._disk(name):
             if path.exists():
                 image = self.folder / "images" / path.name
@@ -257,7 +257,7 @@
                 _copy(path, image)
 
     async def _do_start(self, word: str, disk: str = "") -> None:
-        """Starts a killed process on its disk as it is, on an image, on an empty disk or with a torn log."""
+        """Starts a killed process on its disk, an image, an empty disk or a torn log."""
         name = await self._resolve(word)
         self.killed = [other for other in self.killed if other != name]
         for path in self._disk(name):
@@ -286,7 +286,7 @@
             part.process.send_signal(signal.SIGCONT)
 
     async def _do_full(self, name: str, seconds: str) -> None:
-        """Makes an edge's writes fail: a folder has the name of the temporary file that it writes first."""
+        """Makes an edge's writes fail, with a folder in the place of its temporary file."""
         obstacle = self.folder / "data" / name / "policy.kept.new"
         obstacle.mkdir()
         await asyncio.sleep(float(seconds))
@@ -334,7 +334,7 @@
 
 
 def _flatten(arguments: dict[str, Any]) -> list[Any]:
-    """Returns options and their values as command line arguments."""
+    """Options and values as command line arguments."""
     return [word for option in arguments.items() for word in option]
 
 
--- a/rushmux/standins/script.py
+++ b/rushmux/standins/script.py
@@ -8,11 +8,11 @@
 DAYS = Path(__file__).with_name("days")
 MAX_LINES = 10_000
 FIELDS = {"size": "size", "times": "size", "for": "seconds"}
-"""Keywords of the notation, with the fields of an event that they set."""
+"""Keywords, and the event fields that they set."""
 
 
 class ScriptError(Exception):
-    """A line is invalid, or the script cannot be read; the text quotes the line or the path."""
+    """An invalid line or an unreadable script, quoted by the text."""
 
 
 class Event(NamedTuple):
@@ -34,7 +34,7 @@
 
 
 def _parse_event(words: Sequence[str]) -> Event | None:
-    """Returns the event that the words after `at` state, or None."""
+    """The event that the words after `at` state, or None."""
     at, verb, target, *rest = words
     event = Event(float(at), verb, target)
     if verb in ("kill", "start") and not rest:
@@ -51,7 +51,7 @@
 
 
 def _parse_length(words: Sequence[str]) -> float | None:
-    """Returns the length that a line states, or None."""
+    """The length that a line states, or None."""
     match words:
         case ["length", seconds]:
             return float(seconds)
@@ -62,7 +62,7 @@
     """Parses the text of a day.
 
     Raises:
-        ScriptError: A line is invalid, or there is no length; the text quotes the line with the reason.
+        ScriptError: A line is invalid, or there is no length.
     """
     length, events = 0.0, []
     for number, line in enumerate(text.splitlines()[:MAX_LINES], 1):
--- a/rushmux/standins/service_model.py
+++ b/rushmux/standins/service_model.py
@@ -1,6 +1,6 @@
 """A model of a node's service times: cores, queue, slow start, pauses and deferred work of writes.
 
-It determines when an attempt ends and does no work itself.  Its random generator and its clock are arguments.
+It only determines when an attempt ends.  Random generator and clock are arguments.
 """
 
 import asyncio
@@ -16,17 +16,17 @@
 SERVICE_TIME_SIGMA = 0.3
 """The sigma of the lognormal distribution of service times."""
 SERVICE_TIME_WEIGHT = 8
-"""The reciprocal of the newest service time's weight in the moving average."""
+"""One over the newest service time's weight in the moving average."""
 
 OnDone = Callable[[bool], None]
-"""Called at the end of an attempt; the argument is whether it was dropped at its timeout."""
+"""Called when work ends; True: it was dropped at its timeout."""
 
 
 class Clock(Protocol):
     """The methods of an event loop that the model uses."""
 
     def time(self) -> float:
-        """Returns the time, seconds."""
+        """Seconds."""
 
     def call_later(self, delay: float, callback: Callable, *arguments: object) -> asyncio.TimerHandle:
         """Calls back after a delay."""
@@ -47,7 +47,7 @@
     room: int = 40  # length of the queue; further attempts are rejected
     cold_start: float = 0.17  # share of the capacity at the start
     warm_within: float = 16.0
-    fall_multiple: float = 2.5  # load over `cold_span`, relative to the present capacity, that overloads it
+    fall_multiple: float = 2.5  # overloading load over `cold_span`, relative to the capacity
     cold_span: float = 2.0
     pause_every: tuple[float, float] = (3.0, 8.0)
     pause: tuple[float, float] = (0.03, 0.12)
@@ -55,7 +55,7 @@
     saved: float = 0.5  # share of the work saved for a recent key
     put_off: float = 0.3  # share of a write's work that is deferred and done in batches
     put_off_every: tuple[float, float] = (1.5, 3.5)
-    crowd: float = 0.0  # slowdown for each queued attempt, as of a machine that thrashes
+    crowd: float = 0.0  # slowdown for each queued attempt: machines thrash
     most_crowd: float = 3.0  # largest factor of that slowdown
 
 
@@ -124,17 +124,17 @@
         self._schedule("deferred", self.shape.put_off_every, self._run_deferred)
 
     def _capacity(self, at: float) -> float:
-        """Returns the share of the full capacity at a time."""
+        """The share of the full capacity at a time."""
         age = max(0.0, at - self._started_at)
         initial = self.shape.cold_start
         return min(1.0, initial + (1 - initial) * age / self.shape.warm_within)
 
     def units_per_second(self) -> float:
-        """Returns the capacity of the warm machine."""
+        """The capacity of the warm machine."""
         return self.shape.cores * self.shape.speed / self.shape.unit
 
     def _is_overloaded_by(self, units: float, now: float) -> bool:
-        """Counts units sent to a cold machine; returns whether they overload it."""
+        """Counts units sent to a cold machine; whether they overload it."""
         window = self.shape.cold_span
         if now - self._started_at >= self.shape.warm_within + window:
             return False
@@ -151,7 +151,7 @@
         return self._running + len(self._queue)
 
     def load_sample(self) -> LoadSample:
-        """Returns the current load."""
+        """The current load."""
         return LoadSample(len(self._queue), self._mean_service_time * TICKS_PER_SECOND)
 
     def submit(self, units: float, key: str, is_write: bool, timeout: float, on_done: OnDone) -> bool:
@@ -161,7 +161,7 @@
             units: The amount of work.
             key: The key that it accesses, or empty; work on a recent key is cheaper.
             is_write: Whether a part of the work is deferred.
-            timeout: Seconds after which it is dropped if it is still queued.
+            timeout: Seconds after which it is dropped if still queued.
             on_done: Called when the work ends.
 
         Returns:
@@ -179,7 +179,7 @@
         return True
 
     def _draw_seconds(self, units: float, key: str, is_write: bool) -> float:
-        """Draws an attempt's time on a core; the part that a write defers is added to the deferred work."""
+        """Draws an attempt's time on a core; a write defers a part of it."""
         seconds = units * self.shape.unit / self.shape.speed
         seconds *= self._rng.lognormvariate(-(SERVICE_TIME_SIGMA**2) / 2, SERVICE_TIME_SIGMA)
         if key in self._recent_keys:
@@ -198,7 +198,7 @@
             self._recent_keys.popitem(last=False)
 
     def cancel(self, on_done: OnDone) -> bool:
-        """Removes the work submitted with `on_done` from the queue; returns whether it was queued."""
+        """Drops queued work by its `on_done`; returns whether it was queued."""
         for work in self._queue:
             if work.on_done is on_done:
                 self._queue.remove(work)
@@ -247,8 +247,8 @@
 
     Args:
         clock: The clock.
-        current_model: Returns the machine's current model, which a restart replaces.
-        slowdown: The factor by which the machine's work takes longer while the program runs.
+        current_model: Returns the machine's model, which a restart replaces.
+        slowdown: Factor by which work takes longer while the program runs.
         until: The end, seconds.
         active: Whether it runs in the first period.
     """
--- a/rushmux/standins/store.py
+++ b/rushmux/standins/store.py
@@ -12,7 +12,7 @@
 
 FORMAT = 1
 MAX_ROWS = 1_000
-"""The most rows in a reply, for any request."""
+"""Rows in a reply, for any request."""
 MAX_REPLY_BYTES = 700_000
 """The most bytes of rows in a reply; a frame holds at most a megabyte."""
 ROOT_ID = "0"
@@ -170,7 +170,7 @@
         return Row(*result) if result else None
 
     def look(self, folder: str, request: messages.Look) -> messages.Outcome:
-        """Returns the rows that a request names by path, by key or by range."""
+        """The rows that a request names by path, key or range."""
         outcome = messages.Outcome()
         if request.path:
             self._look_up_path(folder, request.path, outcome)
@@ -272,5 +272,5 @@
 
 
 def _file_id(entry: Row) -> str:
-    """Returns the id of a directory entry's file, which is the first string of a JSON list."""
+    """The id of a directory entry's file: the first string of a JSON list."""
     return entry.value.split(b'"', 2)[1].decode()
