--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -23,7 +23,7 @@
 
 EXAMPLE = json.loads(Path(deployments.__file__).with_name("example.json").read_text())
 OBJECT_BYTES = 20_000  # one unit
-NETWORK_DELAY = 0.005  # seconds, maximum
+MAX_NETWORK_DELAY = 0.005  # seconds
 CASES = {  # name -> objects per second and edge, faults as (node, kind, size)
     "calm": (20, ()),
     "slow node": (20, (("node1", "slow", 12.0),)),
@@ -112,7 +112,7 @@
                     row["kind"] == "execution" and row["execution"] > 0 for row in records
                 )
                 withdrawn += sum(row["kind"] == "withdrawn" for row in records)
-                breaches += Checker(records, built, NETWORK_DELAY).breaches()
+                breaches += Checker(records, built, MAX_NETWORK_DELAY).breaches()
             objective = built.settings.request_classes["archivo-nuevo"].latency_objective / 10_000
             in_time = sum(time <= objective for time in times) / len(times)
             broken = broken or bool(breaches)
--- a/benchmarks/extents.py
+++ b/benchmarks/extents.py
@@ -17,7 +17,7 @@
 SPACING = 100  # bytes between the starts of two extents
 RANGE = 1_000  # bytes of a lookup
 CALLS = 300  # timed calls of each kind
-MICROSECONDS = 1e6
+US_PER_SECOND = 1e6
 SMALLEST, GROWTH = 1_000, 10  # extents in the first run, and the factor to the next
 
 
@@ -50,7 +50,7 @@
     started_at = time.perf_counter()
     for call in calls:
         call()
-    return (time.perf_counter() - started_at) / len(calls) * MICROSECONDS
+    return (time.perf_counter() - started_at) / len(calls) * US_PER_SECOND
 
 
 def fill(index, starts):
@@ -71,7 +71,7 @@
     else:
         started_at = time.perf_counter()
         fill(index, starts)
-        fill_time = (time.perf_counter() - started_at) / size * MICROSECONDS
+        fill_time = (time.perf_counter() - started_at) / size * US_PER_SECOND
     writes = [(rng.randrange(space), size + call) for call in range(CALLS)]
     insert_time = mean_time(
         [lambda at=at, number=number: index.insert(at, DATA, number) for at, number in writes]
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -47,7 +47,7 @@
 """Seconds to wait for the list from discovery."""
 CONNECT_INTERVAL = 0.01
 """Seconds between two attempts to connect."""
-KIB_PER_MB = 1024
+KIB_PER_MIB = 1024
 
 
 class SchedulerCost(NamedTuple):
@@ -150,7 +150,7 @@
             process.wait()
             node.close()
             discovery.close()
-    return ProcessCost(ready, int(re.search(r"VmHWM:\s+(\d+)", status)[1]) / KIB_PER_MB)
+    return ProcessCost(ready, int(re.search(r"VmHWM:\s+(\d+)", status)[1]) / KIB_PER_MIB)
 
 
 async def _connect() -> FakeClient:
--- a/benchmarks/planner_kills.py
+++ b/benchmarks/planner_kills.py
@@ -29,7 +29,7 @@
     "at 6 kill edge1\nat 8 start edge1\nat 9 kill node0\nat 10 start node0\n"
 )
 KILLS, NODES, EDGES, LOAD = 3, 5, 2, 0.4
-NETWORK_DELAY = 0.005  # seconds, maximum
+MAX_NETWORK_DELAY = 0.005  # seconds
 
 
 def run_seed(seed):
@@ -57,7 +57,7 @@
             deployment, seed, scenario, NODES, EDGES, planner=Path(directory) / "p", level="error"
         )
     records = fleet.all_records()
-    breaches = Checker(records, deployment, NETWORK_DELAY).breaches()
+    breaches = Checker(records, deployment, MAX_NETWORK_DELAY).breaches()
     answers = [row for row in records if row["kind"] == "answer"]
     return len(answers), sum(row["status"] in (0, 1) for row in answers), KILLS, breaches
 
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -34,7 +34,7 @@
 PAUSE_AT, PAUSE = 0.35, 14.0  # start as a fraction of the run, and seconds
 CRASH_AT, DOWNTIME = 0.6, 2.0  # the same for the planner's crash
 PAUSED_EDGE = 2
-NETWORK_DELAY = 0.005  # seconds, maximum
+MAX_NETWORK_DELAY = 0.005  # seconds
 
 
 def deployment(shares: bool) -> deployments.Deployment:
@@ -110,7 +110,7 @@
     for seed in range(1, seeds + 1):
         counts, records, built = run_seed(shares, seed, seconds, faults)
         outcomes += counts
-        for verdict in Checker(records, built, NETWORK_DELAY).verdicts():
+        for verdict in Checker(records, built, MAX_NETWORK_DELAY).verdicts():
             violations += verdict.breaches
             if verdict.rule == "limits kept" and verdict.nearest is not None:
                 nearest = max(nearest, verdict.nearest)
--- a/rushmux/cli/connect.py
+++ b/rushmux/cli/connect.py
@@ -8,7 +8,7 @@
 
 from rushmux.cli.parameters import Address, AddressParameter
 
-CHUNK_BYTES = 1 << 16
+READ_SIZE = 1 << 16
 
 
 @click.command("connect")
@@ -33,13 +33,13 @@
 
 
 async def _send(source: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    while data := await source.read(CHUNK_BYTES):
+    while data := await source.read(READ_SIZE):
         writer.write(data)
         await writer.drain()
     writer.write_eof()
 
 
 async def _receive(reader: asyncio.StreamReader) -> None:
-    while data := await reader.read(CHUNK_BYTES):
+    while data := await reader.read(READ_SIZE):
         sys.stdout.buffer.write(data)
         sys.stdout.buffer.flush()
--- a/rushmux/standins/gateway_soak.py
+++ b/rushmux/standins/gateway_soak.py
@@ -47,7 +47,7 @@
 LAG_INTERVAL = 0.01
 NEW_CONNECTIONS_TIME = 0.4
 """Seconds after SIGTERM during which clients may open new connections."""
-PROMPT_CHANCE, DISCONNECT_CHANCE = 0.6, 0.06
+PROMPT_PROBABILITY, DISCONNECT_PROBABILITY = 0.6, 0.06
 """Of an immediate reply by a healthy node; of a client that leaves with requests pending."""
 EXIT_CODES_AFTER_SIGTERM = (0, -signal.SIGKILL, -signal.SIGTERM, -signal.SIGHUP)
 """Exit codes that are no crash: a second signal may come after the event loop is closed and its handlers are
@@ -190,7 +190,7 @@
         rng = self._node_rng
         draw = rng.random()
         if self.settings.scenario is not Scenario.NODES:
-            return [success_reply()] if draw < PROMPT_CHANCE else [rng.uniform(0, 0.1), success_reply()]
+            return [success_reply()] if draw < PROMPT_PROBABILITY else [rng.uniform(0, 0.1), success_reply()]
         reply = success_reply()
         responses = (
             [reply],
@@ -326,7 +326,7 @@
     async def _send_requests(self, connection: FakeClient, rng: random.Random) -> None:
         while self._clients_active:
             requests = [self._send_request(connection, rng) for _ in range(rng.choice((1, 1, 1, 2, 5)))]
-            if rng.random() < DISCONNECT_CHANCE:
+            if rng.random() < DISCONNECT_PROBABILITY:
                 await asyncio.sleep(rng.uniform(0, 0.05))
                 connection.writer.transport.abort() if rng.random() < 1 / 2 else connection.close()
                 for request in requests:
--- a/rushmux/standins/hostile_messages.py
+++ b/rushmux/standins/hostile_messages.py
@@ -13,9 +13,9 @@
 from rushmux.nodewire import VERSION, frame, messages
 
 MAX_REPEATED = 3
-FIELD_CHANCE = 0.8
+FIELD_PROBABILITY = 0.8
 """Probability that a field is set."""
-TRUNCATION_CHANCE = 0.1
+TRUNCATION_PROBABILITY = 0.1
 """Probability that a frame is truncated, as by the death of a peer."""
 MAX_MESSAGES = 8
 """Messages on one connection."""
@@ -52,7 +52,7 @@
     data = bytearray(frame(messages.Message(hello=messages.Hello(version=VERSION, peer=peer, start="1"))))
     for _ in range(rng.randint(1, MAX_MESSAGES)):
         encoded = frame(random_message(rng, bodies))
-        if rng.random() < TRUNCATION_CHANCE:
+        if rng.random() < TRUNCATION_PROBABILITY:
             return bytes(data + encoded[: rng.randrange(len(encoded))])
         data += encoded * rng.choice((1, 1, 2))
     return bytes(data)
@@ -60,7 +60,7 @@
 
 def _fill_randomly(rng: random.Random, message: Message) -> None:
     for field in message.DESCRIPTOR.fields:
-        if rng.random() > FIELD_CHANCE:
+        if rng.random() > FIELD_PROBABILITY:
             continue
         if field.is_repeated:
             for _ in range(rng.randint(0, MAX_REPEATED)):
--- a/rushmux/standins/kills.py
+++ b/rushmux/standins/kills.py
@@ -28,12 +28,12 @@
 NUMBER_BYTES = 8
 MAX_TRIES, RETRY_DELAY = 40, 0.25
 """Attempts at a request until it succeeds, and seconds between them."""
-WRITE_CHANCE, FLUSH_CHANCE = 0.7, 0.15
+WRITE_PROBABILITY, FLUSH_PROBABILITY = 0.7, 0.15
 """Of a write and of a flush as the writer's next step; the rest are barriers."""
 MAX_BATCH = 5
-PAUSE_CHANCE, PAUSES_PER_SECOND = 0.3, 10
+PAUSE_PROBABILITY, PAUSES_PER_SECOND = 0.3, 10
 MIN_KILL_DELAY = 0.05
-OTHER_WRITER_CHANCE, OTHER_WRITES = 0.5, 3
+OTHER_WRITER_PROBABILITY, OTHER_WRITES = 0.5, 3
 SETTLE_TIME = 1.0
 EDGE, OTHER_EDGE = 0, 1
 
@@ -151,13 +151,13 @@
             self._handles.append(await retry(open_file))
         while True:
             draw = self._rng.random()
-            if draw < WRITE_CHANCE:
+            if draw < WRITE_PROBABILITY:
                 await self._write_batch()
-            elif draw < WRITE_CHANCE + FLUSH_CHANCE:
+            elif draw < WRITE_PROBABILITY + FLUSH_PROBABILITY:
                 await self._flush(self._rng.randrange(FILES))
             else:
                 await self._set_barrier()
-            if self._rng.random() < PAUSE_CHANCE:
+            if self._rng.random() < PAUSE_PROBABILITY:
                 await asyncio.sleep(self._rng.expovariate(PAUSES_PER_SECOND))
 
     async def _write_batch(self) -> None:
@@ -293,7 +293,7 @@
     last_number = first_number + len(guarantees.writes)
     other = await fleet.client(OTHER_EDGE)
     errors = find_violations(guarantees, await read_slots(other, folder, slots), written)
-    if rng.random() < OTHER_WRITER_CHANCE:
+    if rng.random() < OTHER_WRITER_PROBABILITY:
         for _ in range(OTHER_WRITES):
             last_number += 1
             write = Write(last_number, rng.randrange(FILES), rng.randrange(SLOTS))
--- a/rushmux/standins/limit_judge.py
+++ b/rushmux/standins/limit_judge.py
@@ -10,7 +10,7 @@
 
 SOCKET_SLACK = 0.15
 """Seconds by which sockets may delay arrivals."""
-ROUNDING = 1e-6
+ROUNDING_TOLERANCE = 1e-6
 """Rounding error of summed units."""
 
 
@@ -81,6 +81,6 @@
         levels[arrival.volume] = level
         largest = max(largest, -level)
         allowed = limit.tolerance + limit.rate * (SOCKET_SLACK + lag)
-        if -level > allowed + ROUNDING:
+        if -level > allowed + ROUNDING_TOLERANCE:
             breaches.append(LimitBreach(arrival, -level, allowed))
     return LimitVerdict(breaches, largest)
--- a/rushmux/standins/platform/client.py
+++ b/rushmux/standins/platform/client.py
@@ -6,7 +6,7 @@
 
 from rushmux.resp import ReplyReader, encode_command
 
-READ_BYTES = 65_536
+READ_SIZE = 65_536
 
 
 class FakeClient:
@@ -38,7 +38,7 @@
         async with asyncio.timeout(within):
             while (reply := self.reply_reader.next_reply()) is None:
                 try:
-                    data = await self.reader.read(READ_BYTES)
+                    data = await self.reader.read(READ_SIZE)
                 except ConnectionError:
                     self.was_reset = True
                     return None
--- a/rushmux/standins/policy_fleet.py
+++ b/rushmux/standins/policy_fleet.py
@@ -33,7 +33,7 @@
 START_TIMEOUT, POLL_INTERVAL = 60.0, 0.05
 MAX_RATES = (0.15, 0.1, 0.15, 0.1, 0.15)
 """Highest rates, in the order of `FaultRates`."""
-FAULT_CHANCE, REVERT_CHANCE, PARTITION_CHANCE = 0.7, 0.15, 0.3
+FAULT_PRESENT_PROBABILITY, REVERT_PROBABILITY, PARTITION_PROBABILITY = 0.7, 0.15, 0.3
 OBJECT_BYTES = 40_000
 MAX_ERRORS_SHOWN, MAX_ERROR_LENGTH = 3, 300
 LIMITS = (120.0, 60.0, 40.0, 30.0)
@@ -55,7 +55,7 @@
 def draw_fault_rates(rng: random.Random) -> FaultRates:
     """Draws the fault rates of a seed; some faults are left out."""
     return FaultRates(
-        *(rate * rng.random() ** 2 if rng.random() < FAULT_CHANCE else 0.0 for rate in MAX_RATES)
+        *(rate * rng.random() ** 2 if rng.random() < FAULT_PRESENT_PROBABILITY else 0.0 for rate in MAX_RATES)
     )
 
 
@@ -159,7 +159,7 @@
             limit = self.fault_rng.choice(LIMITS)
             raw["plans"]["basico"].update(limit=limit, burst=2 * limit)
             label = f"change {len(self.operator_commands)}"
-            if self.fault_rng.random() < REVERT_CHANCE:
+            if self.fault_rng.random() < REVERT_PROBABILITY:
                 await self.send_policy_command(label, "revert", number=self.fault_rng.randrange(1, 4))
             else:
                 await self.send_policy_command(label, "propose", text=documents.serialize(raw))
@@ -204,7 +204,7 @@
         self.partition_number += 1
         seconds = 0.5 * 40 ** self.fault_rng.random()
         for part in [*self.planners.values(), *self.edges.values()]:
-            if self.fault_rng.random() < PARTITION_CHANCE:
+            if self.fault_rng.random() < PARTITION_PROBABILITY:
                 part.process.partition(self.partition_number, seconds)
                 # Its clients are outside the group: its late answers to them are no violation.
                 self.paused[getattr(part.program, "name", "")] = True
--- a/rushmux/standins/scenario.py
+++ b/rushmux/standins/scenario.py
@@ -21,7 +21,7 @@
 """The number of a folder's latest files that readers choose from."""
 LEDGER_SIZE = 4_096
 """Bytes of a ledger, a file that is overwritten again and again."""
-LEDGER_READ_CHANCE = 0.5
+LEDGER_READ_PROBABILITY = 0.5
 FILE_SIZES = ((0.6, 2_000, 30_000), (0.3, 30_000, 64_000), (0.1, 64_000, 300_000))
 """Shares of the files, with their smallest and largest sizes in bytes."""
 UNITS_PER_TASK = 6.0
@@ -166,7 +166,7 @@
     async def use_ledger(self, client, edge, record_fields):
         """Overwrites or reads a ledger in one request, so that a read must return one complete version."""
         path, begun = f"/{self.folder}/ledger{edge}", self.fleet.loop.time()
-        if edge in self.ledger_versions and self.rng.random() < LEDGER_READ_CHANCE:
+        if edge in self.ledger_versions and self.rng.random() < LEDGER_READ_PROBABILITY:
             handle = await client.open(path, sftp.READ, **record_fields)
             begun = self.fleet.loop.time()
             reply = await client.ask(sftp.Read, handle, 0, LEDGER_SIZE, **record_fields)
