--- a/rushmux/standins/gateway_soak.py
+++ b/rushmux/standins/gateway_soak.py
@@ -22,8 +22,8 @@
     Scenario,
     Settings,
     Signals,
-    judge,
-    judge_log,
+    check_log,
+    check_requests,
 )
 from rushmux.standins.platform import (
     FakeClient,
@@ -110,7 +110,7 @@
         self._new_connections_until = float("inf")
 
     async def run(self) -> Outcome:
-        """Executes and judges the run."""
+        """Executes the run and checks what was observed."""
         self._loop = asyncio.get_running_loop()
         lag_task = self._loop.create_task(self._watch_lag())
         await self._open_stand_ins()
@@ -125,8 +125,10 @@
             await self._gateway.end()
             lag_task.cancel()
             self._close_stand_ins()
-        judged = judge(list(self._requests.values()), self.settings, self._drained_at, self._longest_lag)
-        self.breaches += judged + judge_log(self._gateway.log.decode(errors="replace"))
+        breaches = check_requests(
+            list(self._requests.values()), self.settings, self._drained_at, self._longest_lag
+        )
+        self.breaches += breaches + check_log(self._gateway.log.decode(errors="replace"))
         answered = sum(request.replied_at is not None for request in self._requests.values())
         return Outcome(self.settings, len(self._requests), answered, self.breaches)
 
--- a/rushmux/standins/gateway_soak_judge.py
+++ b/rushmux/standins/gateway_soak_judge.py
@@ -85,12 +85,12 @@
     checks_descriptors: bool = False
 
 
-class _Judge:
+class _RequestChecker:
     def __init__(self, settings: Settings, drained_at: Mapping[str, float], lag: float):
         self._settings, self._drained_at, self._longest_lag = settings, drained_at, lag
         self.breaches: list[str] = []
 
-    def judge_answer(self, request: Request) -> None:
+    def check_answer(self, request: Request) -> None:
         if request.replied_at is not None:
             late = request.replied_at - request.sent_at - request.deadline - ANSWER_SLACK - self._longest_lag
             if late > 0:
@@ -108,7 +108,7 @@
             waited = request.connection_ended_at - request.sent_at
             self.breaches.append(f"request {request.number} waited {waited:.3f} s, and its connection ended")
 
-    def judge_attempts(self, request: Request) -> None:
+    def check_attempts(self, request: Request) -> None:
         slack = TIME_SLACK + self._longest_lag
         for attempt in request.attempts:
             if request.client_left_at is not None:
@@ -119,10 +119,10 @@
                     )
             if request.replied_at is not None and attempt.at > request.replied_at + slack:
                 self.breaches.append(f"request {request.number} was forwarded after its answer")
-            self._judge_drain(request, attempt, slack)
-        self._judge_repeats(request, slack)
+            self._check_drain(request, attempt, slack)
+        self._check_retries(request, slack)
 
-    def _judge_drain(self, request: Request, attempt: Attempt, slack: float) -> None:
+    def _check_drain(self, request: Request, attempt: Attempt, slack: float) -> None:
         drained_at = self._drained_at.get(attempt.node)
         if drained_at is None:
             return
@@ -133,7 +133,7 @@
                 f"request {request.number} was sent to draining {attempt.node} {late:.3f} s too late"
             )
 
-    def _judge_repeats(self, request: Request, slack: float) -> None:
+    def _check_retries(self, request: Request, slack: float) -> None:
         if not request.is_write:
             return
         idempotency = self._settings.write_idempotency
@@ -145,7 +145,7 @@
                 self.breaches.append(f"request {request.number} was retried past its window")
 
 
-def judge(
+def check_requests(
     requests: Sequence[Request], settings: Settings, drained_at: Mapping[str, float], lag: float
 ) -> list[str]:
     """Returns the rule breaches of a run.
@@ -156,14 +156,14 @@
         drained_at: When discovery reported each draining node, by name.
         lag: The observer's largest delay in seconds.
     """
-    judging = _Judge(settings, drained_at, lag)
+    checker = _RequestChecker(settings, drained_at, lag)
     for request in requests:
-        judging.judge_answer(request)
-        judging.judge_attempts(request)
-    return judging.breaches
+        checker.check_answer(request)
+        checker.check_attempts(request)
+    return checker.breaches
 
 
-def judge_log(text: str) -> list[str]:
+def check_log(text: str) -> list[str]:
     """Returns the first fault that the gateway itself logged, if any."""
     found = (line for line in text.splitlines() if "Traceback" in line or "fault" in line)
     return [f"the gateway logged: {line[:MAX_QUOTE_LENGTH]}" for line in found][:1]
--- a/rushmux/standins/limit_judge.py
+++ b/rushmux/standins/limit_judge.py
@@ -55,7 +55,7 @@
     """Units below zero; 0 if the bucket was never overdrawn."""
 
 
-def judge_limits(
+def check_limits(
     arrivals: Iterable[UnitArrival], limits: Mapping[str, VolumeLimit], begin: float, lag: float
 ) -> LimitVerdict:
     """Replays a run's arrivals against each volume's bucket.
--- a/rushmux/standins/limit_soak.py
+++ b/rushmux/standins/limit_soak.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from rushmux.standins.limit_judge import LimitBreach, UnitArrival, VolumeLimit, judge_limits
+from rushmux.standins.limit_judge import LimitBreach, UnitArrival, VolumeLimit, check_limits
 from rushmux.standins.platform import FakeClient, FakeDiscovery, configuration, read_command
 from rushmux.standins.platform.gateway_process import GATEWAY_ARGUMENTS, GatewayProcess, free_gateway_port
 from rushmux.standins.platform.metered_node import Meter, MeteredNode, NodeFault
@@ -133,7 +133,7 @@
         self._load_active = asyncio.Event()
 
     async def run(self) -> LimitOutcome:
-        """Executes and judges the run."""
+        """Executes the run and checks what was observed."""
         self._loop = asyncio.get_running_loop()
         await self._open_stand_ins()
         begin = self._loop.time()
@@ -148,7 +148,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
             await self._close()
-        return self._judge(begin)
+        return self._outcome(begin)
 
     async def _open_stand_ins(self) -> None:
         scenario = self.scenario
@@ -316,10 +316,10 @@
             node.close()
         self._discovery.close()
 
-    def _judge(self, begin: float) -> LimitOutcome:
+    def _outcome(self, begin: float) -> LimitOutcome:
         arrivals: list[UnitArrival] = [arrival for node in self._nodes for arrival in node.arrivals]
         limits = {f"{volume:016x}": self.scenario.limit for volume in (SHARED_VOLUME, SINGLE_VOLUME)}
-        verdict = judge_limits(arrivals, limits, begin, self._longest_lag)
+        verdict = check_limits(arrivals, limits, begin, self._longest_lag)
         logs = "\n".join(gateway.log.decode(errors="replace") for gateway in self._gateways)
         self.problems += [line for line in logs.splitlines() if "Traceback" in line or ".fault " in line]
         return LimitOutcome(
--- a/tests/gateway/test_limits_over_gateways.py
+++ b/tests/gateway/test_limits_over_gateways.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from rushmux.standins.limit_judge import UnitArrival, VolumeLimit, judge_limits
+from rushmux.standins.limit_judge import UnitArrival, VolumeLimit, check_limits
 from rushmux.standins.limit_soak import MAX_UNITS, LimitRun, LimitScenario, draw_scenario
 from rushmux.standins.platform.metered_node import Meter, NodeFault
 
@@ -121,7 +121,7 @@
 )
 def test_the_judge_counts_first_arrivals_against_one_bucket_a_volume(arrivals, overdraft, breaches):
     limit = VolumeLimit(rate=10.0, burst=10.0, tolerance=1.0)
-    verdict = judge_limits(arrivals, {"v": limit, "w": limit}, begin=0.0, lag=0.0)
+    verdict = check_limits(arrivals, {"v": limit, "w": limit}, begin=0.0, lag=0.0)
     assert verdict.largest_overdraft == pytest.approx(overdraft)
     assert len(verdict.breaches) == breaches
 
--- a/tests/gateway/test_soak.py
+++ b/tests/gateway/test_soak.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rushmux.standins.gateway_soak import SoakRun
-from rushmux.standins.gateway_soak_judge import Attempt, Request, Scenario, Settings, Signals, judge
+from rushmux.standins.gateway_soak_judge import Attempt, Request, Scenario, Settings, Signals, check_requests
 
 DEFAULT_SEEDS = range(12)
 
@@ -103,13 +103,13 @@
 )
 def test_the_judge_reports_each_breach_and_nothing_else(observed, effect, breach):
     settings = Settings(Scenario.PLAIN, Signals.TERM, 0.5, 0.3, effect, 2, 3, 256, 0)
-    breaches = judge([request(**observed)], settings, {"drained": 0.7}, lag=0.01)
+    breaches = check_requests([request(**observed)], settings, {"drained": 0.7}, lag=0.01)
     assert [breach in text for text in breaches] == [True] if breach else breaches == []
 
 
 def test_a_new_connection_may_be_closed_unread_only_in_a_crowd():
     closed = request(connection_ended_at=1.4, is_on_new_connection=True)
     crowd = Settings(Scenario.CROWD, Signals.TERM, 0.5, 0.3, "safe", 2, 3, 96, 60)
-    assert judge([closed], crowd, {}, lag=0.0) == []
+    assert check_requests([closed], crowd, {}, lag=0.0) == []
     used = request(connection_ended_at=1.4)
-    assert judge([used], crowd, {}, lag=0.0)
+    assert check_requests([used], crowd, {}, lag=0.0)
