--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -56,9 +56,9 @@
     )
 
     def arrive(number, sent, units, key, is_write):
-        def done(late):
+        def done(dropped):
             received = clock.time() + rng.uniform(*IN_ZONE_DELAY)
-            if not late:
+            if not dropped:
                 times[number] = received - sent
 
         model.submit(units, "" if is_write else key, is_write, ATTEMPT_TIMEOUT / 10_000, done)
--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -47,23 +47,23 @@
 def run_seed(case, copies, seed, seconds):
     """Returns times of all objects, outcomes, recordings and the deployment.
 
-    A failed object counts with the time of its hard stop.
+    A failed object counts as if it took until its deadline.
     """
     rate, faults = CASES[case]
     built = deployment(copies)
-    hard_stop = built.settings.request_classes["archivo-nuevo"].deadline / 10_000
+    deadline = built.settings.request_classes["archivo-nuevo"].deadline / 10_000
     times, outcomes = [], Counter()
 
     async def store(fleet, edge, folder):
         started_at = fleet.loop.time()
         try:
-            await OperationRunner(edge.program.driver, folder, "-", started_at + hard_stop).write_object(
+            await OperationRunner(edge.program.driver, folder, "-", started_at + deadline).write_object(
                 b"x" * OBJECT_BYTES
             )
             times.append(fleet.loop.time() - started_at)
             outcomes["stored"] += 1
         except (OperationShedError, OperationFailedError) as error:
-            times.append(hard_stop)
+            times.append(deadline)
             outcomes["shed" if isinstance(error, OperationShedError) else "terminated"] += 1
 
     async def scenario(fleet):
--- a/benchmarks/levels.py
+++ b/benchmarks/levels.py
@@ -90,12 +90,12 @@
     draw_time = time.perf_counter() - started_at
     simulation = SchedulerSimulation(day.deployment, day.fleet, 1)
     simulation.run(day.arrivals, day.events, raw["seconds"])
-    play_time = time.perf_counter() - started_at - draw_time
+    simulation_time = time.perf_counter() - started_at - draw_time
     result = measure(simulation, raw["seconds"])
     whole_time = time.perf_counter() - started_at
     return (
-        f"{edges:9}{nodes:7}{len(day.arrivals):12}{draw_time:9.1f}{play_time:9.1f}"
-        f"{whole_time - play_time - draw_time:9.1f}"
+        f"{edges:9}{nodes:7}{len(day.arrivals):12}{draw_time:9.1f}{simulation_time:9.1f}"
+        f"{whole_time - simulation_time - draw_time:9.1f}"
         f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:10.0f}{result['in_time']:9.3f}  "
         f"{'kept' if result['kept'] else 'BROKEN'}"
     )
@@ -141,8 +141,8 @@
     for name, (load, faults) in CASES.items():
         raw = make_experiment(name, load, faults)
         rows = {}
-        for level, play in (("edge", run_real_edges), ("lean", run_simulation)):
-            rows[level] = [play(raw, seed) for seed in range(1, options.seeds + 1)]
+        for level, simulate in (("edge", run_real_edges), ("lean", run_simulation)):
+            rows[level] = [simulate(raw, seed) for seed in range(1, options.seeds + 1)]
         times = {
             level: [latency for latencies, _, _ in days for latency in latencies]
             for level, days in rows.items()
--- a/benchmarks/scheduler_equivalence.py
+++ b/benchmarks/scheduler_equivalence.py
@@ -113,7 +113,7 @@
             getattr(self.actions, action)(*arguments)
 
 
-def play_scenarios(comparison: Comparison) -> None:
+def run_scenarios(comparison: Comparison) -> None:
     """Runs every scenario of the tests."""
     path = ROOT / "tests" / "conftest.py"
     spec = importlib.util.spec_from_file_location("scenario_player", path)
@@ -124,7 +124,7 @@
         module.ScenarioRunner().play(scenario.read_text())
 
 
-def play_fleets(comparison: Comparison, seeds: range) -> None:
+def run_fleets(comparison: Comparison, seeds: range) -> None:
     """Runs small lab fleets, each with two faults; load reports and hedging vary by seed."""
     for seed in seeds:
         rng = random.Random(seed)
@@ -147,7 +147,7 @@
         simulation.run(day.arrivals, day.events, experiment["seconds"])
 
 
-def play_schedules(comparison: Comparison, deployments: range, schedules_each: int) -> None:
+def run_schedules(comparison: Comparison, deployments: range, schedules_each: int) -> None:
     """Runs random schedules over random deployments, for every scenario of the model check."""
     for number in deployments:
         random_deployment = draw_deployment(random.Random(f"equivalence/{number}"))
@@ -174,9 +174,9 @@
     options = parser.parse_args()
     comparison = Comparison(options.revision)
     parts = (
-        ("scenarios", lambda: play_scenarios(comparison)),
-        ("fleets", lambda: play_fleets(comparison, range(options.fleets))),
-        ("schedules", lambda: play_schedules(comparison, range(options.deployments), options.schedules)),
+        ("scenarios", lambda: run_scenarios(comparison)),
+        ("fleets", lambda: run_fleets(comparison, range(options.fleets))),
+        ("schedules", lambda: run_schedules(comparison, range(options.deployments), options.schedules)),
     )
     for name, part in parts:
         events, actions = comparison.events, comparison.actions
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -106,21 +106,21 @@
 
 def print_variant(faults: bool, shares: bool, seeds: int, seconds: float) -> bool:
     """Runs all seeds of a variant, prints its row and returns whether all rules were kept."""
-    outcomes, nearest, violations = Counter(), 0.0, []
+    outcomes, nearest, breaches = Counter(), 0.0, []
     for seed in range(1, seeds + 1):
         counts, records, built = run_seed(shares, seed, seconds, faults)
         outcomes += counts
         for verdict in Checker(records, built, MAX_NETWORK_DELAY).verdicts():
-            violations += verdict.breaches
+            breaches += verdict.breaches
             if verdict.rule == "limits kept" and verdict.nearest is not None:
                 nearest = max(nearest, verdict.nearest)
     fractions = {name: outcomes[name] / outcomes["asked"] for name in ("in time", "late", "not stored")}
     case, quotas = "troubled" if faults else "calm", "planned" if shares else "even"
     print(
         f"{case:10}{quotas:>9}{outcomes['asked']:8}{fractions['in time']:9.3f}{fractions['late']:7.3f}"
-        f"{fractions['not stored']:12.3f}{nearest:16.2f}  {violations[0] if violations else 'kept'}"
+        f"{fractions['not stored']:12.3f}{nearest:16.2f}  {breaches[0] if breaches else 'kept'}"
     )
-    return not violations
+    return not breaches
 
 
 def main() -> None:
--- a/rushmux/cli/edge.py
+++ b/rushmux/cli/edge.py
@@ -58,7 +58,10 @@
 
     deployment = load_deployment(options.deployment_file)
     if not 0 <= number < deployment.settings.gateway_count:
-        raise click.ClickException(f"edge {number} of {deployment.settings.gateway_count}")
+        raise click.ClickException(
+            f"--number {number} is out of range: "
+            f"the deployment has {deployment.settings.gateway_count} edges, numbered from 0"
+        )
     policy_store = _open_policy_store(data) if deployment.planner_policy else None
     log_disk = _open_log_disk(deployment, data)
 
@@ -101,8 +104,9 @@
         store.load()
     except PolicyFormatError as error:
         raise click.ClickException(str(error)) from error
-    except Exception:  # damaged file: the edge logs it at startup
-        pass  # and serves nothing until a planner has sent the policy
+    except Exception:
+        # Damaged: the edge logs it at startup and serves nothing until a planner has sent the policy.
+        pass
     return store
 
 
--- a/rushmux/cli/local_fleet.py
+++ b/rushmux/cli/local_fleet.py
@@ -16,7 +16,7 @@
 from rushmux.standins.processes import HOST, ProcessFleet, ProcessStartError
 
 UNIT_TIME = 0.001
-"""Core seconds for one unit of work; few, since this fleet is for actual use."""
+"""Core seconds for one unit of work; small, since this fleet is for actual use."""
 ENDPOINT_LAG = 0.5
 """Seconds until a change of the endpoint list is announced."""
 CHECK_INTERVAL = 0.5
@@ -31,8 +31,8 @@
 ) -> tuple[Path, deployments.Deployment]:
     """Writes a deployment file for a fleet of stand-in nodes, and loads it.
 
-    The load that overloads such a node when cold is known; each gateway's part of it is set as low as the
-    verifier requires.
+    States the load that overloads such a node in slow start, and lowers what gateways send it then if the
+    verifier requires that.
 
     Args:
         template: The deployment file to start from.
--- a/rushmux/cli/policy.py
+++ b/rushmux/cli/policy.py
@@ -68,7 +68,7 @@
 
 
 def await_change(planner: Planners, number: int, seconds: float) -> None:
-    """Waits until a change has ended; exits with 1 if it took hold nowhere, 2 if it is still under way."""
+    """Waits until a change has ended; exits with 1 if it took effect nowhere, 2 if it has not ended."""
     deadline = time.monotonic() + seconds
     while True:
         _, state = request(planner, "show")
--- a/rushmux/cli/serving.py
+++ b/rushmux/cli/serving.py
@@ -141,7 +141,7 @@
 
 
 async def _watch_parent(ended: asyncio.Event) -> asyncio.Task:
-    """Sets the event when standard input, which the parent holds open, closes."""
+    """Sets the event when standard input closes, which the parent holds open until it ends."""
     loop, reader = asyncio.get_running_loop(), asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     watch = loop.create_task(reader.read(1))
--- a/rushmux/lab/baselines.py
+++ b/rushmux/lab/baselines.py
@@ -1,6 +1,6 @@
 """Simple schedulers that experiments compare with; nothing else uses them.
 
-All they respect is each node's in-flight limit and its draining.
+They respect nothing but each node's in-flight limit and its state.
 """
 
 from collections import defaultdict
--- a/rushmux/lab/day.py
+++ b/rushmux/lab/day.py
@@ -106,30 +106,30 @@
     Raises:
         DeploymentError: The result is not a valid deployment.
     """
-    text, fleet = copy.deepcopy(EXAMPLE), build_fleet(experiment)
-    _scale_plans(text, experiment, fleet, volumes)
-    text["folders"] = {
+    raw, fleet = copy.deepcopy(EXAMPLE), build_fleet(experiment)
+    _scale_plans(raw, experiment, fleet, volumes)
+    raw["folders"] = {
         volume.name: {"plan": volume.plan, "edges": list(volume.gateways)} for volume in volumes
     }
-    text["fleet"].update(gateways=fleet.gateway_count, second_copies=False)
-    text["fleet"]["cold_units"] = _slow_start_units(fleet.machine)
-    text["bounds"], text["routes"] = {}, []
+    raw["fleet"].update(gateways=fleet.gateway_count, second_copies=False)
+    raw["fleet"]["cold_units"] = _slow_start_units(fleet.machine)
+    raw["bounds"], raw["routes"] = {}, []
     for path, value in {**experiment["set"], **variant.get("set", {})}.items():
-        set_value(text, path, value)
-    return deployments.build(text, "deployment", reject_findings=False)
+        set_value(raw, path, value)
+    return deployments.build(raw, "deployment", reject_findings=False)
 
 
 def _scale_plans(
-    text: dict[str, Any], experiment: Experiment, fleet: Fleet, volumes: Sequence[Volume]
+    raw: dict[str, Any], experiment: Experiment, fleet: Fleet, volumes: Sequence[Volume]
 ) -> None:
-    reserves = sum(text["plans"][volume.plan]["reserve"] for volume in volumes)
+    reserves = sum(raw["plans"][volume.plan]["reserve"] for volume in volumes)
     factor = experiment["reserved"] * fleet_capacity(experiment) / reserves
-    for plan in text["plans"].values():
+    for plan in raw["plans"].values():
         for field in SCALED_PLAN_FIELDS:
             if field in plan:
                 plan[field] = plan[field] * factor
         if plan.get("limit"):
-            plan["burst"] = max(plan["burst"], text["fleet"]["most_units"] * fleet.gateway_count)
+            plan["burst"] = max(plan["burst"], raw["fleet"]["most_units"] * fleet.gateway_count)
 
 
 def _slow_start_units(machine: Shape) -> float:
--- a/rushmux/lab/errors.py
+++ b/rushmux/lab/errors.py
@@ -1,5 +1,5 @@
-"""The base class of all errors of the laboratory."""
+"""The base class of the lab's errors."""
 
 
 class LabError(Exception):
-    """An input of the laboratory cannot be used; the text says which and why."""
+    """An input cannot be used; the text says which and why."""
--- a/rushmux/lab/experiment.py
+++ b/rushmux/lab/experiment.py
@@ -1,6 +1,6 @@
 """Reads and checks experiment files and expands their factors.
 
-An experiment is kept as its JSON (`experiment_schema`), checked and completed with the defaults.
+An experiment stays a JSON object (`experiment_schema`), checked and completed with the defaults.
 """
 
 import copy
--- a/rushmux/lab/legacy_scheduler.py
+++ b/rushmux/lab/legacy_scheduler.py
@@ -30,7 +30,7 @@
     return record_type(*record[: len(record_type._fields)])
 
 
-class LegacyOutbox:
+class LegacyActions:
     """The current actions under their legacy names."""
 
     def __init__(self, actions):
@@ -54,7 +54,7 @@
             request_classes=lanes, plans=plans, route_policies=self._routes(settings.route_policies)
         )
         terms = to_legacy(interface.Terms, settings)
-        self.gateway = rules.Gateway(terms, seed, now, LegacyOutbox(actions))
+        self.gateway = rules.Gateway(terms, seed, now, LegacyActions(actions))
 
     def _routes(self, policies):
         return {key: to_legacy(self.interface.Route, policy) for key, policy in policies.items()}
--- a/rushmux/lab/model_check/scenarios.py
+++ b/rushmux/lab/model_check/scenarios.py
@@ -131,7 +131,7 @@
 
 
 def restarts_with_spent_limits(schedule: Schedule, request_class: str, plan: str) -> Ticks:
-    """Lets all gateways use up their shares of a limit and restart, as often as the bounds allow."""
+    """Lets all gateways use up their shares of a limit, and restart them as often as the bounds allow."""
     client, bounds = _Client(schedule, request_class, plan), schedule.bounds
     qos_plan, gateway_count = bounds.settings.plans[plan], bounds.settings.gateway_count
     operations_per_gateway = int(qos_plan.burst / gateway_count) + 2
--- a/rushmux/lab/optimal_bound.py
+++ b/rushmux/lab/optimal_bound.py
@@ -1,10 +1,10 @@
 """An upper bound on what a scheduler with full knowledge of a day could serve in time.
 
 A linear program divides time into slots, in each of which a node offers its core-seconds at its speed then.
-An operation may be served in any slot between arrival and latency objective, by the node that holds its data,
-or by any node for a new object.  All simplifications favour the scheduler: sizes are rounded down to classes,
-keys accessed before have the lower cost, deferred work costs nothing, operations may be split over slots,
-messages take no time, and a node in slow start may be loaded up to its capacity.
+An operation may be served in any slot from its arrival to the end of its latency objective, by the node that
+holds its data, or by any node for a new object.  All simplifications favour the scheduler: sizes are rounded
+down to classes, keys accessed before have the lower cost, deferred work costs nothing, operations may be
+split over slots, messages take no time, and a node in slow start may be loaded up to its capacity.
 """
 
 from collections import defaultdict
--- a/rushmux/lab/plots.py
+++ b/rushmux/lab/plots.py
@@ -111,7 +111,7 @@
 
 
 def plot_nodes(days: Mapping[int, DayResult], title: str) -> Figure:
-    """Attempts in flight at and concurrency limits for each node, on the first day."""
+    """Attempts in flight and the median concurrency limit, for each node on the first day."""
     samples = next(iter(days.values()))["nodes"]
     height = max(MIN_NODES_HEIGHT, NODE_ROW_HEIGHT * len(_node_names(samples)) + 1)
     figure, axes = pyplot.subplots(1, 2, figsize=(WIDTH, height), constrained_layout=True)
--- a/rushmux/lab/result_store.py
+++ b/rushmux/lab/result_store.py
@@ -46,8 +46,8 @@
 
 def experiment_digest(experiment: Experiment, variant: Variant) -> str:
     """Identifies what is simulated: the variant, and the experiment without seeds and other variants."""
-    text = {name: value for name, value in experiment.items() if name not in NOT_IN_DIGEST}
-    encoded = json.dumps([text, variant], sort_keys=True).encode()
+    simulated = {name: value for name, value in experiment.items() if name not in NOT_IN_DIGEST}
+    encoded = json.dumps([simulated, variant], sort_keys=True).encode()
     return hashlib.blake2b(encoded, digest_size=DIGEST_BYTES).hexdigest()
 
 
--- a/rushmux/lab/system_simulation.py
+++ b/rushmux/lab/system_simulation.py
@@ -25,7 +25,7 @@
 from rushmux.standins import fleet as standin_fleets
 from rushmux.standins.fleet import VirtualFleet
 
-STANDIN_KINDS = {FaultKind.USAGE_REPORT_LOSS: "unmetered"}  # where the stand-ins use another name
+STANDIN_KINDS = {FaultKind.USAGE_REPORT_LOSS: "unmetered"}  # kinds with another name in the stand-ins
 STANDIN_FAULTS = (
     FaultKind.SILENT,
     FaultKind.SLOW,
@@ -233,17 +233,17 @@
 
 
 def _standin_name(name: str) -> str:
-    """The stand-in's name of a node that faults call, say, `n3`."""
+    """The stand-in's name of a node, by its name in faults (such as `n3`)."""
     return f"{STANDIN_PREFIX}{_cell(name)}"
 
 
 def _fault_target(standin_name: str) -> str:
-    """The name of a stand-in node in faults."""
+    """The name in faults of a node, by its stand-in's name."""
     return node_name(int(standin_name.removeprefix(STANDIN_PREFIX)))
 
 
 def _cell(name: str) -> int:
-    """The cell of a node that faults call, say, `n3`."""
+    """The cell of a node, by its name in faults."""
     return int(name[1:])
 
 
--- a/rushmux/standins/checker.py
+++ b/rushmux/standins/checker.py
@@ -180,7 +180,10 @@
             rule.breach(f"{name}: no answer")
 
     def _excused_at(self, session: str) -> float:
-        """When the edge was killed or the client left; an edge that closes a session owes its answers."""
+        """When the edge was killed or the client left: after that, no answer is due.
+
+        An edge that closes a session by itself still owes its answers.
+        """
         edge = session.split("/")[0]
         return min(self._edge_killed_at.get(edge, NEVER), self._session_left_at.get(session, NEVER))
 
--- a/rushmux/standins/lists.py
+++ b/rushmux/standins/lists.py
@@ -109,7 +109,7 @@
         elif name == "trouble" and self.accepts_faults:
             self.on_fault_request(peer, body)
         else:
-            raise WireError(f"{name} is not for the list source")
+            raise WireError(f"a message '{name}' is not for the list source")
 
     def _on_report(self, peer: PeerConnection, report: messages.Report) -> None:
         entry = report.entry
@@ -149,7 +149,7 @@
             if entry.node in self._published:
                 self._published[entry.node].entry.free = entry.free
             return
-        if not self._settled:  # after its start, until each cell has a node
+        if not self._settled:  # not every cell has had a node yet
             self._published[entry.node] = Published(entry, self.loop.time())
             if len({published.entry.cell for published in self._published.values()}) == self.cells:
                 self._settle()
--- a/rushmux/standins/node.py
+++ b/rushmux/standins/node.py
@@ -57,7 +57,7 @@
 
 
 class Node(FaultInjectingServer):
-    """One start of a node.
+    """A node process; a restart is a new `Node` with the same store.
 
     Args:
         identity: Its name and location.
@@ -219,7 +219,7 @@
         elif name == "trouble" and self.accepts_faults:
             self.on_fault_request(peer, body)
         else:
-            raise WireError(f"{name} is not for a node")
+            raise WireError(f"a message '{name}' is not for a node")
 
     def _on_cancel(self, peer: PeerConnection, request: messages.Withdraw) -> None:
         on_done = self._in_service.pop((peer, request.corr), None)
@@ -235,7 +235,7 @@
         if self._overloaded:
             return
         self._record_attempt(peer, body)
-        # An edge that knows no version from the floor on was restarted from an old disk.
+        # An edge whose newest known version is below the floor was restarted from an old disk.
         if 0 < body.knows < self.store.fencing_floor:
             self.record("fenced", node=self.name, op=body.op, execution=body.execution, policy=body.policy)
             self._answer(peer, body, messages.Outcome(code=messages.BUSY, floor=self.store.fencing_floor))
--- a/rushmux/standins/passthrough.py
+++ b/rushmux/standins/passthrough.py
@@ -9,7 +9,7 @@
 
 
 class PassThroughScheduler:
-    """Sends each operation once, immediately, to a node of its cell, with its hard stop as timeout."""
+    """Sends each operation once, at its arrival, to a node of its cell, to time out before its deadline."""
 
     def __init__(self, settings, seed, now, actions):
         self.settings, self.actions, self.random = settings, actions, random.Random(seed)
--- a/rushmux/standins/policy_fleet.py
+++ b/rushmux/standins/policy_fleet.py
@@ -38,7 +38,7 @@
 MAX_ERRORS_SHOWN, MAX_ERROR_LENGTH = 3, 300
 LIMITS = (120.0, 60.0, 40.0, 30.0)
 BAD_EVENTS = ("scheduler.fault", "policy.grant_rejected", *FAULT_EVENTS)
-"""Log events that no process or network fault may cause."""
+"""Log events that process and network faults must not cause."""
 PLANNERS = ("plannera", "plannerb", "plannerc")
 
 
@@ -206,7 +206,7 @@
         for part in [*self.planners.values(), *self.edges.values()]:
             if self.fault_rng.random() < PARTITION_PROBABILITY:
                 part.process.partition(self.partition_number, seconds)
-                # Its clients are outside the group: its late answers to them are no violation.
+                # Its clients are outside the group: its late answers to them are no breach.
                 self.paused[getattr(part.program, "name", "")] = True
 
     async def clients(self, until):
@@ -249,7 +249,7 @@
 
 
 class Result(NamedTuple):
-    """Violations (none if the run passed), counts of events, and the log."""
+    """Breaches (none if the run passed), counts of events, and the log."""
 
     breaches: list[str]
     facts: Counter
--- a/rushmux/standins/policy_history_checker.py
+++ b/rushmux/standins/policy_history_checker.py
@@ -13,9 +13,9 @@
 from rushmux.standins.checker import Checker
 
 MAX_DELAY = 0.25  # longest message delay between processes on a busy machine, seconds
-MAX_VIOLATIONS = 20  # number of violations by operations that are listed
+MAX_BREACHES = 20  # breaches by operations that are listed
 EXCLUDED_RULES = ("limits kept", "no cold node pushed over")
-"""Rules of `Checker` that are checked here against the active policy, or do not apply to these histories."""
+"""Rules of `Checker` that are checked here against the active policy, or do not apply here."""
 OUTCOMES = {"decide": "decided", "end": "ended", "withdraw": "withdrawn"}
 """Outcome of a change by the kind of the command that ended it."""
 
@@ -51,41 +51,39 @@
         deployment: The deployment that the fleet started with.
         expectations: Expected outcomes of the scenario's changes.
         operators: The operators' commands and the answers to them.
-        paused: Names of programs that were paused at some time.
+        paused: Names of programs that were paused or partitioned at some time.
 
     Returns:
-        The violations, and counts of events.
+        The breaches, and counts of events.
     """
     facts: Counter = Counter()
-    applied, violations = _applied_commands(rows)
+    applied, breaches = _applied_commands(rows)
     versions = [applied[index].active_version for index in sorted(applied)]
     if versions != sorted(versions):
-        violations.append(f"the active version decreased: {versions}")
+        breaches.append(f"the active version decreased: {versions}")
     outcomes = _outcomes(applied, facts)
     policies = active_policies(rows)
-    violations += check_operations(rows, policies, facts)[:MAX_VIOLATIONS]
-    violations += check_answers(operators, outcomes, expectations, versions[-1] if versions else 0)
-    violations += _check_rules(rows, deployment, paused)
+    breaches += check_operations(rows, policies, facts)[:MAX_BREACHES]
+    breaches += check_answers(operators, outcomes, expectations, versions[-1] if versions else 0)
+    breaches += _check_rules(rows, deployment, paused)
     facts["executions"] = sum(row["kind"] == "execution" for row in rows)
     facts["answers"] = sum(row["kind"] == "answer" and row["status"] in (0, 1) for row in rows)
     facts["fenced"] = sum(row["kind"] == "fenced" for row in rows)
-    return violations, facts
+    return breaches, facts
 
 
 def _applied_commands(rows: Iterable[Row]) -> tuple[dict[int, AppliedCommand], list[str]]:
-    """The command at each log index, and violations where planners disagree on it."""
+    """The command at each log index, and breaches where planners disagree on it."""
     applied: dict[int, AppliedCommand] = {}
-    violations = []
+    breaches = []
     for row in rows:
         if row["kind"] != "decided":
             continue
         command = AppliedCommand(row["order"], row["said"], row["force"])
         known = applied.setdefault(row["index"], command)
         if known != command:
-            violations.append(
-                f"planners disagree on entry {row['index']}: {tuple(known)} and {command.answer}"
-            )
-    return applied, violations
+            breaches.append(f"planners disagree on entry {row['index']}: {tuple(known)} and {command.answer}")
+    return applied, breaches
 
 
 def active_policies(rows: Iterable[Row]) -> dict[int, ActivePolicy]:
@@ -112,23 +110,23 @@
 
 def _check_rules(rows: Sequence[Row], deployment: Deployment, paused: Collection[str]) -> list[str]:
     """Checks the rules of `Checker` except `EXCLUDED_RULES`."""
-    # A paused edge may answer late.
+    # An edge that was paused or partitioned may answer late.
     checked = [
         row
         for row in rows
         if row["kind"] not in ("ask", "answer") or row["session"].split(".")[0] not in paused
     ]
-    violations = []
+    breaches = []
     for verdict in Checker(checked, deployment, MAX_DELAY).verdicts():
         if verdict.rule in EXCLUDED_RULES:
             continue
         # Messages of a program in a partition reach a node when the partition ends, long after fencing.
         found = [text for text in verdict.breaches if not any(f"{name}." in text for name in paused if name)]
         only_summary_left = found == list(verdict.breaches[-1:])
-        violations += [
+        breaches += [
             f"{verdict.rule}: {text}" for text in found if not (only_summary_left and text.startswith("and "))
         ]
-    return violations
+    return breaches
 
 
 def check_operations(rows: Sequence[Row], policies: Mapping[int, ActivePolicy], facts: Counter) -> list[str]:
@@ -137,22 +135,22 @@
     served: dict[str, list[tuple[float, float]]] = defaultdict(list)
     """By folder, the start and units of each operation."""
     version_of: dict[str, int] = {}
-    violations = []
+    breaches = []
     for row in rows:
         if row["kind"] != "execution":
             continue
         operation, version = row["op"], row["policy"]
         if version not in policies or policies[version].since > row["at"] + MAX_DELAY:
-            violations.append(
+            breaches.append(
                 f"{row['at']:.3f} s: {operation} ran under version {version}, which was not decided"
             )
         elif version_of.setdefault(operation, version) != version:
-            violations.append(f"{operation} ran under {version_of[operation]} and {version}")
+            breaches.append(f"{operation} ran under {version_of[operation]} and {version}")
         if (operation, row["execution"]) not in fenced and row["execution"] == 0:
             served[row["volume"]].append((row["at"], row["units"]))
     for folder, sent in served.items():
-        violations += _check_limits(folder, sent, policies, facts)
-    return violations
+        breaches += _check_limits(folder, sent, policies, facts)
+    return breaches
 
 
 def _check_limits(
@@ -162,7 +160,7 @@
     facts: Counter,
 ) -> list[str]:
     """Checks a folder's operations against the limit of each version while it was active."""
-    violations = []
+    breaches = []
     changes = sorted((policy.since, version) for version, policy in policies.items())
     ends = [since for since, _ in changes[1:]] + [float("inf")]
     for (since, version), until in zip(changes, ends, strict=True):
@@ -172,10 +170,10 @@
         peak = _peak_usage(sent, limit, since, until)
         facts[f"used of {folder} under {version}"] = round(100 * peak / burst)
         if peak > burst + limit * MAX_DELAY:
-            violations.append(
+            breaches.append(
                 f"{folder}: {peak:.0f} units at once under {version}, which allows {burst:g} and {limit:g}/s"
             )
-    return violations
+    return breaches
 
 
 def _peak_usage(sent: Sequence[tuple[float, float]], limit: float, since: float, until: float) -> float:
@@ -196,23 +194,23 @@
     active_version: int,
 ) -> list[str]:
     """Checks that answers to operators were true, and that changes ended as the scenario expects."""
-    violations = []
+    breaches = []
     answers: dict[str, Row] = {}
     for row in operators:
         answers[row["word"]] = row
         refused = row["said"].startswith("refused") and row["verb"] == "propose"
         if refused and row["number"] in outcomes:
             outcome = outcomes[row["number"]]
-            violations.append(f"{row['word']}: told {row['said']}, but {row['number']} is {outcome}")
+            breaches.append(f"{row['word']}: told {row['said']}, but {row['number']} is {outcome}")
     for name, *expected in expectations:
         if name == "force":
             if active_version != int(expected[0]):
-                violations.append(f"the active version is {active_version}, not {expected[0]}")
+                breaches.append(f"the active version is {active_version}, not {expected[0]}")
         elif name not in answers:
-            violations.append(f"no operator proposed {name}")
+            breaches.append(f"no operator proposed {name}")
         else:
-            violations += _check_expected(name, answers[name], outcomes, expected)
-    return violations
+            breaches += _check_expected(name, answers[name], outcomes, expected)
+    return breaches
 
 
 def _check_expected(
--- a/rushmux/standins/policy_mutants.py
+++ b/rushmux/standins/policy_mutants.py
@@ -1,7 +1,7 @@
 """Mutants of the policy rollout: each is one of its three classes with one defect.
 
-The checker of `policy_simulation` has to find each of them; tests and `benchmarks/policy.py` state within how
-many seeds.
+The checker of `policy_simulation` has to find each of them; `benchmarks/policy.py` prints how many seeds that
+takes.
 """
 
 from collections.abc import Iterable
--- a/rushmux/standins/scenario.py
+++ b/rushmux/standins/scenario.py
@@ -32,8 +32,8 @@
 """Pending requests of a session from which on another one is opened, and the most allowed."""
 RECONNECT_DELAY = 0.5
 """Seconds before a session that could not be opened may be tried again."""
-DRAIN_PATIENCE = 3
-"""How long the end of the day waits for the last answers, in request timeouts."""
+FINAL_WAIT_TIMEOUTS = 3
+"""Request timeouts for which the end of the day waits for the last answers."""
 DIGEST_BYTES, SEED_BYTES = 8, 32
 
 
@@ -227,7 +227,7 @@
         await asyncio.sleep(max(0, begun + event.at - loop.time()))
         event_tasks.append(loop.create_task(run_event(fleet, clients_of, event)))
     await asyncio.gather(*tasks, *event_tasks)
-    deadline = loop.time() + fleet.deployment.sessions.request_timeout * DRAIN_PATIENCE
+    deadline = loop.time() + fleet.deployment.sessions.request_timeout * FINAL_WAIT_TIMEOUTS
     while any(clients.running for clients in clients_of.values()) and loop.time() < deadline:
         await asyncio.sleep(0.1)
     fleet.record("end", turned_away=sum(clients.rejected for clients in clients_of.values()))
--- a/rushmux/standins/service_model.py
+++ b/rushmux/standins/service_model.py
@@ -39,10 +39,10 @@
 
 
 class Shape(NamedTuple):
-    """A machine; times in seconds, work in units.  Experiment files use these field names."""
+    """The parameters of a machine; times in seconds, work in units.  Experiment files use these names."""
 
     cores: int = 2
-    unit: float = 0.015  # time of a core for a unit of work at speed 1
+    unit: float = 0.015  # core seconds for a unit of work at speed 1
     speed: float = 1.0
     room: int = 40  # length of the queue; further attempts are rejected
     cold_start: float = 0.17  # share of the capacity at the start
--- a/rushmux/standins/store.py
+++ b/rushmux/standins/store.py
@@ -32,7 +32,7 @@
 
 
 class DiskFullError(Exception):
-    """The data to be written does not fit."""
+    """The disk has no room for the data to be written."""
 
 
 class Row(NamedTuple):
--- a/tests/edge/test_processes.py
+++ b/tests/edge/test_processes.py
@@ -156,7 +156,10 @@
     [
         (["check", "none.json"], "cannot be read"),
         (["edge", "--lists", "nowhere"], "'nowhere' is not HOST:PORT"),
-        (["edge", "--lists", "127.0.0.1:1", "--number", "9"], "edge 9 of 3"),
+        (
+            ["edge", "--lists", "127.0.0.1:1", "--number", "9"],
+            "--number 9 is out of range: the deployment has 3 edges, numbered from 0",
+        ),
         (["demo", "--day", "none"], "cannot be read"),
         (["connect", "127.0.0.1:1"], "Connect call failed"),
         (
--- a/tests/lab/conftest.py
+++ b/tests/lab/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the laboratory's tests: a small experiment, and simulations of its days."""
+"""Fixtures of the lab's tests: a small experiment, and simulations of its days."""
 
 import pytest
 
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -1,4 +1,4 @@
-"""Running experiments: independent of the number of cores, resumed after a kill, crashes reported."""
+"""Experiments: same results on any number of cores, resumed after a kill, crashes reported."""
 
 import json
 import signal
--- a/tests/lab/test_scheduler_simulation.py
+++ b/tests/lab/test_scheduler_simulation.py
@@ -85,7 +85,7 @@
             Shape(crowd=crowd, recent=0, put_off=0.0), random.Random(1), False, lambda: None, clock
         )
         for _ in range(30):
-            model.submit(1.0, "", False, 60.0, lambda late: ends.append(clock.time()))
+            model.submit(1.0, "", False, 60.0, lambda dropped: ends.append(clock.time()))
         clock.run(60.0)
         return max(ends)
 
