--- a/rushmux/planner/admin_client.py
+++ b/rushmux/planner/admin_client.py
@@ -10,7 +10,7 @@
 from rushmux.planner.errors import CommandRejectedError, PlannerUnavailableError
 
 ANSWER_TIMEOUT = 10.0  # seconds; longer than a planner's `proposals.PROPOSAL_TIMEOUT`
-MAX_ROUNDS = 4  # of attempts at all planners; electing a new leader takes about three seconds
+MAX_ROUNDS = 4  # each tries all planners; electing a new leader takes about three seconds
 ROUND_PAUSE = 1.0  # seconds between rounds
 READ_SIZE = 1 << 16  # bytes per read from a socket
 
@@ -23,15 +23,15 @@
     """Sends a command about the fleet's members.
 
     Args:
-        addresses: one planner, or all of them; the leader answers.
-        verb: a `commands.FleetVerb`.
-        member: the node that the command applies to.
+        addresses: One planner, or all of them; the leader answers.
+        verb: A `commands.FleetVerb`.
+        member: The node that the command applies to.
 
     Returns:
         The members after the command.
 
     Raises:
-        CommandRejectedError: the command was refused, or no planner could be reached.
+        CommandRejectedError: The command was refused, or no planner could be reached.
     """
     request = messages.Message(order=messages.Order(verb=verb, member=member))
     return await _request(addresses, request, "ordered")
@@ -43,16 +43,16 @@
     """Sends a command about the fleet's policy.
 
     Args:
-        addresses: one planner, or all of them; the leader answers.
-        verb: a `commands.PolicyVerb`.
-        **fields: the command's fields.  `client` and `n` are its idempotency key: a command sent again with
+        addresses: One planner, or all of them; the leader answers.
+        verb: A `commands.PolicyVerb`.
+        **fields: The command's fields.  `client` and `n` are its idempotency key: a command sent again with
             the same key is applied once.
 
     Returns:
         The command's result, and the policy's state.
 
     Raises:
-        CommandRejectedError: the command was refused, or no planner could be reached.
+        CommandRejectedError: The command was refused, or no planner could be reached.
     """
     request = messages.Message(policy_order=messages.PolicyOrder(verb=verb, order=orjson.dumps(fields)))
     return await _request(addresses, request, "policy_answer")
--- a/rushmux/planner/planner.py
+++ b/rushmux/planner/planner.py
@@ -41,14 +41,14 @@
     """One planner.
 
     Args:
-        cells: number of shards of the fleet's data.
-        store: the planner's stored membership.
-        log: the logger.
-        record: called with what is published or committed, for checkers of recorded histories.
-        limited_folders: names of the folders that have limits.
-        gateway_count: the maximum number of edges.
-        deployment: its policy becomes the fleet's first one; None: the fleet has no policy.
-        replication: the planners that decide together; None: this one decides alone.
+        cells: Number of shards of the fleet's data.
+        store: The planner's stored membership.
+        log: The logger.
+        record: Called with what is published or committed, for checkers of recorded histories.
+        limited_folders: Names of the folders that have limits.
+        gateway_count: The maximum number of edges.
+        deployment: Its policy becomes the fleet's first one; None: the fleet has no policy.
+        replication: The planners that decide together; None: this one decides alone.
     """
 
     def __init__(
@@ -104,8 +104,8 @@
         """Starts serving, and returns the port.
 
         Raises:
-            RaftStorageError: the stored log cannot be used.
-            OSError: the address cannot be used.
+            RaftStorageError: The stored log cannot be used.
+            OSError: The address cannot be used.
         """
         self.loop = asyncio.get_running_loop()
         self._begin_term(self.store.term)
@@ -207,7 +207,7 @@
             raise WireError("this planner does not lead")
         handler = handler or self._leader_handlers.get(kind)
         if handler is None or (kind in EDGE_ONLY_MESSAGES and peer not in self.publisher.subscribers):
-            raise WireError(f"{kind} is not for a planner")
+            raise WireError(f"{kind} messages are not accepted here")
         handler(peer, body)
 
     # Nodes and edges.
@@ -217,7 +217,7 @@
         self._send_floor(peer)
 
     def _send_floor(self, peer: PeerConnection) -> None:
-        """Tells a node the fencing floor, below which it rejects operations."""
+        """Sends a node the policy version below which it rejects operations."""
         if self.replicated_log is None or self._floor is None:
             return
         floor = self._floor.floor_to_send(self.replicated_log.policy.fencing_floor, self.loop.time())
@@ -232,7 +232,7 @@
 
     def _on_raft_message(self, peer: PeerConnection, message: messages.Word) -> None:
         if not self._is_own_message(peer, message):
-            raise WireError(f"{peer.name} sent a Raft message of {message.sender}")
+            raise WireError(f"{peer.name} sent a Raft message in the name of {message.sender}")
         self.replicated_log.on_message(message)
 
     def _is_own_message(self, peer: PeerConnection, message: messages.Word) -> bool:
--- a/rushmux/planner/raft_codec.py
+++ b/rushmux/planner/raft_codec.py
@@ -1,6 +1,6 @@
 """Converts Raft messages, policies and lease grants between `fleet` records and wire messages; no I/O.
 
-One wire message stands for all kinds of Raft messages; its kind determines which of its fields are used.
+All kinds of Raft messages share the wire message `Word`, whose `kind` tells which fields are used.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -9,7 +9,7 @@
 from rushmux.fleet.policy import LeaseGrant, Policy
 from rushmux.nodewire import WireError, messages
 
-MAX_ENTRY_BYTES = 512 << 10  # of the entries in one message; a frame holds 1 MiB
+MAX_ENTRIES_BYTES = 512 << 10  # of the entries in one message; a frame holds 1 MiB
 ENTRY_OVERHEAD = 64  # maximum bytes of an entry besides its body
 
 KINDS: dict[type, str] = {
@@ -134,7 +134,7 @@
     encoded, size = [], 0
     for entry in entries:
         size += len(entry.body) + ENTRY_OVERHEAD
-        if encoded and size > MAX_ENTRY_BYTES:
+        if encoded and size > MAX_ENTRIES_BYTES:
             break
         encoded.append(_encode_entry(entry))
     return encoded
