--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -23,7 +23,7 @@
 
 EXAMPLE = json.loads(Path(deployments.__file__).with_name("example.json").read_text())
 OBJECT_BYTES = 20_000  # one unit
-NETWORK_DELAY = 0.005  # seconds, maximum
+MAX_NETWORK_DELAY = 0.005  # seconds
 CASES = {  # name -> objects per second and edge, faults as (node, kind, size)
     "calm": (20, ()),
     "slow node": (20, (("node1", "slow", 12.0),)),
@@ -47,23 +47,23 @@
 def run_seed(case, copies, seed, seconds):
     """Returns times, outcomes, recordings and the deployment.
 
-    A failed object counts with the time of its hard stop.
+    A failed object counts as if it took until its deadline.
     """
     rate, faults = CASES[case]
     built = deployment(copies)
-    hard_stop = built.settings.request_classes["archivo-nuevo"].deadline / 10_000
+    deadline = built.settings.request_classes["archivo-nuevo"].deadline / 10_000
     times, outcomes = [], Counter()
 
     async def store(fleet, edge, folder):
         started_at = fleet.loop.time()
         try:
-            await OperationRunner(edge.program.driver, folder, "-", started_at + hard_stop).write_object(
+            await OperationRunner(edge.program.driver, folder, "-", started_at + deadline).write_object(
                 b"x" * OBJECT_BYTES
             )
             times.append(fleet.loop.time() - started_at)
             outcomes["stored"] += 1
         except (OperationShedError, OperationFailedError) as error:
-            times.append(hard_stop)
+            times.append(deadline)
             outcomes["shed" if isinstance(error, OperationShedError) else "terminated"] += 1
 
     async def scenario(fleet):
@@ -112,7 +112,7 @@
                     row["kind"] == "execution" and row["execution"] > 0 for row in records
                 )
                 withdrawn += sum(row["kind"] == "withdrawn" for row in records)
-                breaches += Checker(records, built, NETWORK_DELAY).breaches()
+                breaches += Checker(records, built, MAX_NETWORK_DELAY).breaches()
             objective = built.settings.request_classes["archivo-nuevo"].latency_objective / 10_000
             in_time = sum(time <= objective for time in times) / len(times)
             broken = broken or bool(breaches)
--- a/rushmux/standins/scenario.py
+++ b/rushmux/standins/scenario.py
@@ -21,7 +21,7 @@
 """Latest files of a folder that readers choose from."""
 LEDGER_SIZE = 4_096
 """Bytes of a ledger, a file that is overwritten repeatedly."""
-LEDGER_READ_CHANCE = 0.5
+LEDGER_READ_PROBABILITY = 0.5
 FILE_SIZES = ((0.6, 2_000, 30_000), (0.3, 30_000, 64_000), (0.1, 64_000, 300_000))
 """(share of files, smallest and largest size in bytes)"""
 UNITS_PER_TASK = 6.0
@@ -31,9 +31,9 @@
 BUSY_REQUESTS, MAX_REQUESTS = 8, 40
 """Pending requests from which on another session is opened, and the limit."""
 RECONNECT_DELAY = 0.5
-"""Seconds between attempts to open a session."""
-DRAIN_PATIENCE = 3
-"""Request timeouts to wait for the last answers."""
+"""Seconds before a session that could not be opened may be tried again."""
+FINAL_WAIT_TIMEOUTS = 3
+"""Request timeouts for which the end of the day waits for the last answers."""
 DIGEST_BYTES, SEED_BYTES = 8, 32
 
 
@@ -166,7 +166,7 @@
     async def use_ledger(self, client, edge, record_fields):
         """Overwrites or reads a ledger in one request: a read must return one version."""
         path, begun = f"/{self.folder}/ledger{edge}", self.fleet.loop.time()
-        if edge in self.ledger_versions and self.rng.random() < LEDGER_READ_CHANCE:
+        if edge in self.ledger_versions and self.rng.random() < LEDGER_READ_PROBABILITY:
             handle = await client.open(path, sftp.READ, **record_fields)
             begun = self.fleet.loop.time()
             reply = await client.ask(sftp.Read, handle, 0, LEDGER_SIZE, **record_fields)
@@ -227,7 +227,7 @@
         await asyncio.sleep(max(0, begun + event.at - loop.time()))
         event_tasks.append(loop.create_task(run_event(fleet, clients_of, event)))
     await asyncio.gather(*tasks, *event_tasks)
-    deadline = loop.time() + fleet.deployment.sessions.request_timeout * DRAIN_PATIENCE
+    deadline = loop.time() + fleet.deployment.sessions.request_timeout * FINAL_WAIT_TIMEOUTS
     while any(clients.running for clients in clients_of.values()) and loop.time() < deadline:
         await asyncio.sleep(0.1)
     fleet.record("end", turned_away=sum(clients.rejected for clients in clients_of.values()))
