--- a/rushmux/edge/endpoint_cache.py
+++ b/rushmux/edge/endpoint_cache.py
@@ -107,9 +107,7 @@
             raise EndpointCacheError(self.path, f"header cannot be read: {error}") from error
         body = data[HEADER.size :]
         if magic != MAGIC or file_format != FORMAT or len(data) > MAX_FILE_BYTES:
-            raise EndpointCacheError(
-                self.path, f"not an endpoint list of format {FORMAT}, or over {MAX_FILE_BYTES} bytes"
-            )
+            raise EndpointCacheError(self.path, f"format {file_format}, this edge reads {FORMAT}")
         if zlib.crc32(SAVED_AT.pack(saved_at) + body) != checksum:
             raise EndpointCacheError(self.path, "checksum mismatch")
         listing = messages.Listing()
